--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -6,7 +6,8 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use ottersail_net::{
-    block_on, executor, flowing, serve, whole, Body, Limits, Listener, Nursery, Server, Timer,
+    block_on, executor, full_body, serve, streaming_body, Body, ConnectionCounts, Limits, Listener,
+    TaskGroup, Timer,
 };
 use ottersail_wire::catalogue::{write_servers, write_titles, INDEX_HEADER};
 use std::cell::RefCell;
@@ -15,7 +16,7 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-const LIMITS: Limits = Limits { connections: 60_000, head: Duration::from_secs(60) };
+const LIMITS: Limits = Limits { connections: 60_000, head_timeout: Duration::from_secs(60) };
 
 type Sender = async_channel::Sender<bytes::Bytes>;
 
@@ -26,7 +27,7 @@
     stopped: mpsc::Receiver<()>,
 ) -> Result<(), BenchError> {
     let exec = executor();
-    let nursery = Nursery::new(exec);
+    let nursery = TaskGroup::new(exec);
     let open = |what| {
         let of = |source| BenchError::Socket { what, source };
         let listener = Listener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).map_err(of)?;
@@ -50,19 +51,19 @@
             let streams = streams.clone();
             async move {
                 if request.uri().path() == "/notes" {
-                    let (sender, body) = flowing(4);
+                    let (sender, body) = streaming_body(4);
                     _ = sender.try_send(":\n\n".into());
                     streams.borrow_mut().push(sender);
                     return Response::new(body);
                 }
-                let mut response: Response<Body> = Response::new(whole(PLAYLIST));
+                let mut response: Response<Body> = Response::new(full_body(PLAYLIST));
                 if request.method() == Method::PUT {
                     *response.status_mut() = StatusCode::CREATED;
                 }
                 response
             }
         };
-        nursery.spawn(serve(nursery.clone(), listener, LIMITS, Server::new(), handler));
+        nursery.spawn(serve(nursery.clone(), listener, LIMITS, ConnectionCounts::new(), handler));
     }
     let (listener, address) = open("the list")?;
     let (list, titles) = (write_servers(&rows), write_titles(&titles(servers)));
@@ -72,14 +73,14 @@
             if request.uri().query().is_some_and(|it| it.contains("index=")) {
                 Timer::after(Duration::from_secs(50)).await;
             }
-            let mut response = Response::new(whole(text));
+            let mut response = Response::new(full_body(text));
             response.headers_mut().insert(INDEX_HEADER, 1.into());
             response
         }
     };
-    nursery.spawn(serve(nursery.clone(), listener, LIMITS, Server::new(), handler));
+    nursery.spawn(serve(nursery.clone(), listener, LIMITS, ConnectionCounts::new(), handler));
     _ = ready.send(address);
     block_on(exec.run(until(stopped)));
-    nursery.end();
+    nursery.cancel_all();
     Ok(())
 }
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -20,7 +20,7 @@
 pub use councillor::Councillor;
 pub use follower::Follower;
 pub use message::Message;
-pub use ottersail_membership::{Life, MemberId};
+pub use ottersail_membership::{InstanceId, MemberId};
 pub use proposer::Proposer;
 pub use types::*;
 pub use wishes::*;
--- a/consensus/src/proposer.rs
+++ b/consensus/src/proposer.rs
@@ -12,7 +12,7 @@
 #[cfg(any(test, feature = "sabotage"))]
 use crate::wishes::Guards;
 use crate::wishes::{Terms, Wishes};
-use ottersail_membership::chance::Chance;
+use ottersail_membership::rng::SeededRng;
 
 /// Requests that wait for one key at most.
 const QUEUE_MOST: usize = 16;
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Proposer {
     terms: Terms,
-    chance: Chance,
+    chance: SeededRng,
     /// The greatest ballot number seen anywhere.
     highest: u64,
     rounds: BTreeMap<Key, Round>,
@@ -34,7 +34,7 @@
 impl Proposer {
     pub fn new(terms: Terms) -> Proposer {
         Proposer {
-            chance: Chance::new(terms.seed),
+            chance: SeededRng::new(terms.seed),
             terms,
             highest: 0,
             rounds: BTreeMap::new(),
@@ -106,7 +106,7 @@
 
     /// By chance, so that two that duel part. Symptom without that: both refuse each other for ever.
     fn back_off(&mut self, now: Ms, key: Key) {
-        let part = self.chance.part();
+        let part = self.chance.fraction();
         let Some(round) = self.rounds.get_mut(&key) else { return };
         let most = self.terms.back_off * f64::from(1 << round.tries.min(DOUBLINGS));
         round.tries += 1;
--- a/consensus/src/tests/plain.rs
+++ b/consensus/src/tests/plain.rs
@@ -17,11 +17,11 @@
 }
 
 fn ballot(number: u64) -> Ballot {
-    Ballot { number, proposer: MemberId(2), life: Life(2) }
+    Ballot { number, proposer: MemberId(2), life: InstanceId(2) }
 }
 
 fn value(revision: u64, number: u64) -> Value {
-    let by = RequestId { member: MemberId(9), life: Life(9), number };
+    let by = RequestId { member: MemberId(9), life: InstanceId(9), number };
     Value { revision, by, body: vec![number as u8] }
 }
 
@@ -78,10 +78,10 @@
 
 /// A proposer at 3 after promises of 1 and 2 that held that value.
 fn proposing(guards: Guards, held: Option<Value>, change: Change) -> (Proposer, Heap) {
-    let terms = Terms::new(MemberId(3), Life(3), &members(), 1);
+    let terms = Terms::new(MemberId(3), InstanceId(3), &members(), 1);
     let (mut proposer, mut heap) = (Proposer::new(terms), Heap::default());
     proposer.guards = guards;
-    let request = RequestId { member: MemberId(9), life: Life(9), number: 7 };
+    let request = RequestId { member: MemberId(9), life: InstanceId(9), number: 7 };
     proposer.propose(Ms(0.0), KEY, Job { request, reply: MemberId(9), change, until: Ms(9e3) }, &mut heap);
     for (member, seen) in [(1, 1), (2, 2)] {
         let accepted = held.clone().map(|value| (ballot(seen), value));
@@ -126,7 +126,7 @@
 
 #[test]
 fn what_is_too_long_or_too_much_is_turned_away() {
-    let terms = Terms::new(MemberId(9), Life(9), &members(), 1);
+    let terms = Terms::new(MemberId(9), InstanceId(9), &members(), 1);
     let (mut follower, mut heap) = (Follower::born(Ms(0.0), terms), Heap::default());
     let set = |bytes| Change::Set { if_revision: 0, body: vec![0; bytes] };
     follower.ask(Ms(0.0), 1, KEY, set(BODY_MOST + 1), &mut heap);
@@ -138,7 +138,7 @@
 #[test_case(true)]
 #[test_case(false)]
 fn never_an_older_over_a_newer(newer: bool) {
-    let terms = Terms::new(MemberId(9), Life(9), &members(), 1);
+    let terms = Terms::new(MemberId(9), InstanceId(9), &members(), 1);
     let (mut follower, mut heap) = (Follower::born(Ms(0.0), terms), Heap::default());
     follower.guards = Guards { newer, ..Guards::ALL };
     for revision in [5, 4] {
@@ -156,7 +156,7 @@
 fn followers_fetch_what_they_lack() {
     let mut heap = Heap::default();
     let mut followers: Vec<Follower> = (10..14)
-        .map(|id| Follower::born(Ms(0.0), Terms::new(MemberId(id), Life(id), &members(), 1)))
+        .map(|id| Follower::born(Ms(0.0), Terms::new(MemberId(id), InstanceId(id), &members(), 1)))
         .collect();
     for number in 0..1000_u16 {
         let value = Value { body: vec![1; usize::from(number % 300)], ..value(1 + u64::from(number % 7), 3) };
@@ -190,9 +190,9 @@
 /// 2 knows a number of 1 from a recovery that was cut off; 1 is told and stands under a greater one from then on.
 #[test]
 fn a_sound_councillor_that_counts_nowhere_is_told_and_raises_its_number() {
-    let terms = Terms::new(MemberId(3), Life(3), &members(), 1);
+    let terms = Terms::new(MemberId(3), InstanceId(3), &members(), 1);
     let (mut proposer, mut heap) = (Proposer::new(terms), Heap::default());
-    let request = RequestId { member: MemberId(9), life: Life(9), number: 7 };
+    let request = RequestId { member: MemberId(9), life: InstanceId(9), number: 7 };
     let job = Job { request, reply: MemberId(9), change: Change::Read, until: Ms(9e3) };
     proposer.propose(Ms(0.0), KEY, job, &mut heap);
     let Some((_, Message::Prepare { ballot, .. })) = heap.sent.first().cloned() else { panic!("no round") };
@@ -203,7 +203,8 @@
     let told = Message::Outdated { known: Memory(6) };
     assert_eq!(heap.sent.last(), Some(&(MemberId(1), told.clone())));
     let stored = Stored { sound: true, ..Stored::new(Memory(5)) };
-    let mut councillor = Councillor::born(Ms(0.0), Terms::new(MemberId(1), Life(1), &members(), 1), stored);
+    let mut councillor =
+        Councillor::born(Ms(0.0), Terms::new(MemberId(1), InstanceId(1), &members(), 1), stored);
     for known in [told, Message::Outdated { known: Memory(4) }] {
         councillor.message(Ms(0.0), MemberId(3), &known, &Open, &mut heap);
     }
--- a/consensus/src/tests/sim.rs
+++ b/consensus/src/tests/sim.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use ottersail::time::Ms;
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 
 use super::judge::{founded, Heap, Judge};
 use crate::*;
-use ottersail_membership::chance::Chance;
+use ottersail_membership::rng::SeededRng;
 
 /// What goes wrong, in thousandths.
 #[derive(Clone, Copy, Debug, Default)]
@@ -36,15 +36,15 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Deliver { from: MemberId, life: Life, to: MemberId, message: Message },
-    Kept { at: MemberId, life: Life, token: Token },
+    Deliver { from: MemberId, life: InstanceId, to: MemberId, message: Message },
+    Kept { at: MemberId, life: InstanceId, token: Token },
     Up(MemberId),
     Heal(MemberId, MemberId),
 }
 
 pub struct Sim {
     pub now: Ms,
-    pub chance: Chance,
+    pub chance: SeededRng,
     pub faults: Faults,
     pub guards: Guards,
     pub up: BTreeMap<MemberId, Councillor>,
@@ -54,7 +54,7 @@
     pub cuts: BTreeSet<(MemberId, MemberId)>,
     pub members: Vec<MemberId>,
     drawn: u64,
-    lives: BTreeMap<(MemberId, MemberId), Life>,
+    lives: BTreeMap<(MemberId, MemberId), InstanceId>,
     /// Each way, and each sync: from this to twice this.
     pub way: Ms,
     pub sync: Ms,
@@ -66,7 +66,7 @@
         let members: Vec<MemberId> = (1..=count).map(MemberId).collect();
         let mut sim = Sim {
             now: Ms(0.0),
-            chance: Chance::new(seed),
+            chance: SeededRng::new(seed),
             faults,
             guards,
             up: BTreeMap::new(),
@@ -87,7 +87,7 @@
 
     pub fn start(&mut self, member: MemberId) {
         self.drawn += 1;
-        let terms = Terms::new(member, Life(self.drawn), &self.members, self.drawn);
+        let terms = Terms::new(member, InstanceId(self.drawn), &self.members, self.drawn);
         let disk =
             self.disks.entry(member).or_insert_with(|| Stored::new(Memory::drawn(u64::MAX - self.drawn)));
         let mut councillor = Councillor::born(self.now, terms, disk.clone());
@@ -140,15 +140,15 @@
             };
             for _ in 0..copies {
                 // Now and then far behind the others.
-                let late = if self.chance.below(20) == 0 { 100.0 * self.chance.part() } else { 1.0 };
-                let wait = self.way * ((1.0 + self.chance.part()) * late);
+                let late = if self.chance.below(20) == 0 { 100.0 * self.chance.fraction() } else { 1.0 };
+                let wait = self.way * ((1.0 + self.chance.fraction()) * late);
                 self.later(wait, Event::Deliver { from: at, life, to, message: message.clone() });
             }
         }
         for (token, records) in heap.keeps {
             let unsynced = self.unsynced.entry(at).or_default();
             unsynced.push((token, records));
-            let wait = self.sync * (1.0 + self.chance.part());
+            let wait = self.sync * (1.0 + self.chance.fraction());
             self.later(wait, Event::Kept { at, life, token });
         }
         for (key, value) in heap.chosen {
@@ -230,7 +230,7 @@
         let any = self.members[self.chance.below(self.members.len())];
         let other = self.members[self.chance.below(self.members.len())];
         if self.chance.below(1000) < self.faults.cut && self.cuts.insert((any, other)) {
-            let wait = Ms(600.0) * self.chance.part();
+            let wait = Ms(600.0) * self.chance.fraction();
             self.later(wait, Event::Heal(any, other));
         }
         if self.chance.below(1000) < self.faults.crash && self.up.contains_key(&any) {
@@ -239,7 +239,7 @@
             if self.chance.below(1000) < self.faults.forget && sound > self.members.len() / 2 {
                 self.forget(any);
             }
-            let wait = Ms(400.0) * self.chance.part();
+            let wait = Ms(400.0) * self.chance.fraction();
             self.later(wait, Event::Up(any));
         }
         self.run(Ms(50.0));
--- a/consensus/src/tests/sizes.rs
+++ b/consensus/src/tests/sizes.rs
@@ -7,10 +7,10 @@
 
 const MOST: usize = 900;
 const KEY: Key = Key::Order(u16::MAX);
-const ID: RequestId = RequestId { member: MemberId(u64::MAX), life: Life(u64::MAX), number: u64::MAX };
+const ID: RequestId = RequestId { member: MemberId(u64::MAX), life: InstanceId(u64::MAX), number: u64::MAX };
 
 fn ballot() -> Ballot {
-    Ballot { number: u64::MAX, proposer: MemberId(u64::MAX), life: Life(u64::MAX) }
+    Ballot { number: u64::MAX, proposer: MemberId(u64::MAX), life: InstanceId(u64::MAX) }
 }
 
 fn value() -> Value {
--- a/consensus/src/types.rs
+++ b/consensus/src/types.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 
 /// Bytes of a value's body at most, so that a promise with every councillor's memory fits in 900 bytes.
 pub const BODY_MOST: usize = 600;
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId {
     pub member: MemberId,
-    pub life: Life,
+    pub life: InstanceId,
     pub number: u64,
 }
 
@@ -43,7 +43,7 @@
 pub struct Ballot {
     pub number: u64,
     pub proposer: MemberId,
-    pub life: Life,
+    pub life: InstanceId,
 }
 
 /// Which store a councillor stands on. The upper 16 bits count the losses the others knew of, the lower 48 are drawn
--- a/consensus/src/wishes.rs
+++ b/consensus/src/wishes.rs
@@ -4,7 +4,7 @@
 
 use crate::message::Message;
 use crate::types::{Key, Outcome, Record, Stored, Value};
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 
 /// Names one wish to keep.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Terms {
     pub me: MemberId,
-    pub life: Life,
+    pub life: InstanceId,
     /// 3, 5 or 7 for councils that are to live through 1, 2 or 3 losses.
     pub councillors: Vec<MemberId>,
     pub seed: u64,
@@ -61,7 +61,7 @@
 
 impl Terms {
     /// Terms for a local network: round trips of some milliseconds, syncs of some ten.
-    pub fn new(me: MemberId, life: Life, councillors: &[MemberId], seed: u64) -> Terms {
+    pub fn new(me: MemberId, life: InstanceId, councillors: &[MemberId], seed: u64) -> Terms {
         let mut councillors = councillors.to_vec();
         councillors.sort();
         councillors.dedup();
--- a/cores/src/claim.rs
+++ b/cores/src/claim.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// The owner never saw it: no set-up of it can have run, and none will.
-    Put,
+    Pending,
     /// The owner had taken it: a set-up of it may have run.
     Taken,
 }
@@ -37,7 +37,7 @@
     /// Wins the right to answer, once over all cores; `None` if another has it.
     pub fn answer(&self) -> Option<Stage> {
         match self.0.swap(ANSWERED, Ordering::AcqRel) {
-            PUT => Some(Stage::Put),
+            PUT => Some(Stage::Pending),
             TAKEN => Some(Stage::Taken),
             _ => None,
         }
@@ -59,7 +59,7 @@
         assert!(claim.take() && !claim.take());
         assert_eq!([claim.answer(), claim.answer()], [Some(Stage::Taken), None]);
         let claim = Claim::new();
-        assert_eq!(claim.answer(), Some(Stage::Put));
+        assert_eq!(claim.answer(), Some(Stage::Pending));
         assert!(!claim.take(), "what was answered untaken is never set up");
     }
 }
@@ -94,7 +94,7 @@
             answers.extend(others.into_iter().map(|it| it.join().unwrap()));
             let won: Vec<Stage> = answers.into_iter().flatten().collect();
             assert_eq!(won.len(), 1, "one answer, whoever comes first");
-            if won[0] == Stage::Put {
+            if won[0] == Stage::Pending {
                 assert_eq!(set_up.load(Ordering::SeqCst), 0, "called never set up, and never set up");
             }
         });
--- a/cores/src/spread.rs
+++ b/cores/src/connection_balancer.rs
@@ -6,17 +6,17 @@
 const OWNERS_WORK: f64 = 0.5;
 
 #[derive(Clone, Debug)]
-pub struct Spread {
+pub struct ConnectionBalancer {
     room: Vec<f64>,
 }
 
-impl Spread {
+impl ConnectionBalancer {
     /// For so many cores, of which the first owns placement.
-    pub fn new(cores: usize) -> Spread {
+    pub fn new(cores: usize) -> ConnectionBalancer {
         let even = (1.0 + OWNERS_WORK) / cores.max(1) as f64;
         let owner = (even - OWNERS_WORK).max(0.0);
         let other = (1.0 - owner) / (cores.max(2) - 1) as f64;
-        Spread { room: (0..cores.max(1)).map(|it| if it == 0 { owner } else { other }).collect() }
+        ConnectionBalancer { room: (0..cores.max(1)).map(|it| if it == 0 { owner } else { other }).collect() }
     }
 
     /// The core for the next connection, by how many each has open; those that stand still are passed over,
@@ -40,7 +40,7 @@
     use test_case::test_case;
 
     fn given(cores: usize, still: &[bool]) -> Vec<usize> {
-        let spread = Spread::new(cores);
+        let spread = ConnectionBalancer::new(cores);
         let mut open = vec![0; cores];
         for _ in 0..100 {
             let core = spread.next(&open, still);
@@ -60,6 +60,6 @@
 
     #[test]
     fn what_closes_is_given_again() {
-        assert_eq!(Spread::new(3).next(&[0, 40, 39], &[]), 2);
+        assert_eq!(ConnectionBalancer::new(3).next(&[0, 40, 39], &[]), 2);
     }
 }
--- a/cores/src/lib.rs
+++ b/cores/src/lib.rs
@@ -1,13 +1,13 @@
-//! What the cores of one manager share, without I/O: [`Claim`] settles who answers a request, [`Spread`]
-//! which core gets a connection, [`Bell`] whether a thread must be woken.
+//! What the cores of one manager share, without I/O: [`Claim`] settles who answers a request, [`ConnectionBalancer`]
+//! which core gets a connection, [`WakeFlag`] whether a thread must be woken.
 
-mod bell;
 mod claim;
-mod room;
-mod spread;
-pub mod vigil;
+mod connection_balancer;
+mod owner_load;
+pub mod stall;
+mod wake_flag;
 
-pub use bell::Bell;
 pub use claim::{Claim, Stage};
-pub use room::Room;
-pub use spread::Spread;
+pub use connection_balancer::ConnectionBalancer;
+pub use owner_load::OwnerLoad;
+pub use wake_flag::WakeFlag;
--- a/cores/src/room.rs
+++ b/cores/src/owner_load.rs
@@ -11,21 +11,21 @@
 const CLOSE: f64 = 5.0;
 
 #[derive(Clone, Debug)]
-pub struct Room {
+pub struct OwnerLoad {
     looked: f64,
     slept: f64,
     busy: f64,
 }
 
-impl Room {
+impl OwnerLoad {
     /// The owner at its start, `now` in milliseconds.
-    pub fn new(now: f64) -> Room {
-        Room { looked: now, slept: 0.0, busy: 0.0 }
+    pub fn new(now: f64) -> OwnerLoad {
+        OwnerLoad { looked: now, slept: 0.0, busy: 0.0 }
     }
 
     /// A look at how long the owner has slept in all, in milliseconds. Time that the machine gave to others
     /// while the owner had work counts as work: it has no room then either.
-    pub fn look(&mut self, now: f64, slept: f64) {
+    pub fn sample(&mut self, now: f64, slept: f64) {
         let span = now - self.looked;
         if span < CLOSE {
             return;
@@ -41,7 +41,7 @@
     }
 
     /// The core that does a new viewing's errands, if that one holds its viewer's connection.
-    pub fn home(&self, asker: usize) -> usize {
+    pub fn core_for(&self, asker: usize) -> usize {
         if self.busy < BUSY {
             0
         } else {
@@ -58,19 +58,19 @@
     /// The owner's share of work after `ms`, if a set-up costs it `placing` and, done by itself, `doing`
     /// more, in milliseconds; and the share of set-ups that it did itself.
     fn after(ms: f64, per_s: f64, placing: f64, doing: f64) -> (f64, f64) {
-        let mut room = Room::new(0.0);
+        let mut room = OwnerLoad::new(0.0);
         let (mut now, mut slept, mut own, mut all) = (0.0, 0.0, 0.0, 0.0);
         while now < ms {
             let gap = 1e3 / per_s;
             let mut work = placing;
-            if room.home(1) == 0 {
+            if room.core_for(1) == 0 {
                 work += doing;
                 own += 1.0;
             }
             all += 1.0;
             slept += (gap - work).max(0.0);
             now += gap.max(work);
-            room.look(now, slept);
+            room.sample(now, slept);
         }
         (room.busy(), own / all)
     }
@@ -93,16 +93,16 @@
 
     #[test]
     fn a_burst_is_seen_within_its_first_half_second() {
-        let mut room = Room::new(0.0);
-        (1..=100).for_each(|ix| room.look(f64::from(ix) * 10.0, f64::from(ix) * 9.0));
-        assert!(room.busy() < 0.12 && room.home(3) == 0);
+        let mut room = OwnerLoad::new(0.0);
+        (1..=100).for_each(|ix| room.sample(f64::from(ix) * 10.0, f64::from(ix) * 9.0));
+        assert!(room.busy() < 0.12 && room.core_for(3) == 0);
         let mut now = 1_000.0;
-        while room.home(3) == 0 {
+        while room.core_for(3) == 0 {
             now += 10.0;
-            room.look(now, 900.0);
+            room.sample(now, 900.0);
         }
         assert!(now < 1_300.0, "{now}");
-        (1..=50).for_each(|ix| room.look(now + f64::from(ix) * 10.0, 900.0 + f64::from(ix) * 9.5));
-        assert_eq!(room.home(3), 0, "and past soon after");
+        (1..=50).for_each(|ix| room.sample(now + f64::from(ix) * 10.0, 900.0 + f64::from(ix) * 9.5));
+        assert_eq!(room.core_for(3), 0, "and past soon after");
     }
 }
--- a/cores/src/bell.rs
+++ b/cores/src/wake_flag.rs
@@ -11,32 +11,32 @@
 
 /// A thread that runs hears the bell by itself before it sleeps; only one that sleeps costs a system call.
 #[derive(Debug)]
-pub struct Bell(AtomicU8);
+pub struct WakeFlag(AtomicU8);
 
-impl Bell {
+impl WakeFlag {
     #[allow(clippy::new_without_default)]
-    pub fn new() -> Bell {
-        Bell(AtomicU8::new(RUNS))
+    pub fn new() -> WakeFlag {
+        WakeFlag(AtomicU8::new(RUNS))
     }
 
     /// True if the thread sleeps, or is about to, and the caller must wake it; of several ringers one is told
     /// so.
-    pub fn ring(&self) -> bool {
+    pub fn notify(&self) -> bool {
         self.0.swap(RUNG, Ordering::AcqRel) == SLEEPS
     }
 
     /// True if it was rung since; the thread sees what was put down before, and goes on.
-    pub fn heard(&self) -> bool {
+    pub fn take_notification(&self) -> bool {
         self.0.swap(RUNS, Ordering::AcqRel) == RUNG
     }
 
     /// The thread lies down; false if it was rung and must not sleep.
-    pub fn lies_down(&self) -> bool {
+    pub fn begin_sleep(&self) -> bool {
         self.0.compare_exchange(RUNS, SLEEPS, Ordering::AcqRel, Ordering::Acquire).is_ok()
     }
 
     /// It woke, for whatever reason. What was rung stays rung.
-    pub fn gets_up(&self) {
+    pub fn end_sleep(&self) {
         _ = self.0.compare_exchange(SLEEPS, RUNS, Ordering::AcqRel, Ordering::Acquire);
     }
 }
@@ -48,13 +48,13 @@
 
     #[test]
     fn only_one_that_sleeps_is_woken_and_once() {
-        let bell = Bell::new();
-        assert!(!bell.ring(), "it runs");
-        assert!(!bell.lies_down(), "it was rung");
-        bell.gets_up();
-        assert!(bell.heard() && !bell.heard());
-        assert!(bell.lies_down());
-        assert_eq!([bell.ring(), bell.ring()], [true, false]);
+        let bell = WakeFlag::new();
+        assert!(!bell.notify(), "it runs");
+        assert!(!bell.begin_sleep(), "it was rung");
+        bell.end_sleep();
+        assert!(bell.take_notification() && !bell.take_notification());
+        assert!(bell.begin_sleep());
+        assert_eq!([bell.notify(), bell.notify()], [true, false]);
     }
 }
 
@@ -71,23 +71,23 @@
     fn ringers(count: usize) {
         loom::model(move || {
             let (bell, put, woken) =
-                (Arc::new(Bell::new()), Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
+                (Arc::new(WakeFlag::new()), Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
             let threads: Vec<_> = (0..count)
                 .map(|_| {
                     let (bell, put, woken) = (bell.clone(), put.clone(), woken.clone());
                     thread::spawn(move || {
                         put.fetch_add(1, Ordering::SeqCst);
-                        if bell.ring() {
+                        if bell.notify() {
                             woken.fetch_add(1, Ordering::SeqCst);
                         }
                     })
                 })
                 .collect();
             let mut seen = 0;
-            if bell.heard() {
+            if bell.take_notification() {
                 seen = put.load(Ordering::SeqCst);
             }
-            let sleeps = bell.lies_down();
+            let sleeps = bell.begin_sleep();
             threads.into_iter().for_each(|it| it.join().unwrap());
             let woken = woken.load(Ordering::SeqCst);
             assert!(woken <= usize::from(sleeps), "one waking a sleep");
--- a/daemon/src/error.rs
+++ b/daemon/src/error.rs
@@ -1,7 +1,7 @@
 //! What keeps the program's jobs from being done: what is wrong, where, and what can be tried.
 
 use crate::settings::error::SettingsError;
-use ottersail_membership::TermsError;
+use ottersail_membership::MembershipConfigError;
 use std::io;
 use std::net::{AddrParseError, SocketAddr};
 use std::path::PathBuf;
@@ -31,7 +31,7 @@
     #[error("{address}: {why}; is another one running? Else choose another address for [manager] listen")]
     Listen { address: SocketAddr, why: io::Error },
     #[error("[members]: {0}")]
-    Members(#[from] TermsError),
+    Members(#[from] MembershipConfigError),
     #[error("{address}: no datagrams: {why}; is another one running? Else choose another [members] listen")]
     Datagrams { address: SocketAddr, why: io::Error },
     #[error("{address}: connections can't be watched: {why}; raise the limit on open files (ulimit -n)")]
--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -19,9 +19,11 @@
 pub use door::MEMBER;
 use door::{Door, Doors, Knocks};
 use hands::Hands;
-use ottersail_membership::gate::{Gate, Opened};
-use ottersail_membership::{Address, Life, Me, MemberId, Members, Message, Sender as From, Terms};
-use ottersail_net::{Datagrams, Exec, Timer};
+use ottersail_membership::auth::{DatagramAuth, Opened};
+use ottersail_membership::{
+    Address, InstanceId, LocalMember, MemberId, Members, MembershipConfig, Message, Sender as From,
+};
+use ottersail_net::{Datagrams, Executor, Timer};
 use ottersail_signed_urls::Keys;
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::RandomState;
@@ -36,16 +38,16 @@
 const AT_ONCE: usize = 32;
 const REST: Duration = Duration::from_millis(1);
 /// One byte more than a datagram may have, so that a longer one is seen as such.
-const ROOM: usize = ottersail_membership::gate::LONGEST + 1;
+const ROOM: usize = ottersail_membership::auth::MAX_DATAGRAM_BYTES + 1;
 
 pub struct Fleet {
     me: Weak<Fleet>,
-    exec: Exec,
+    exec: Executor,
     began: Instant,
     name: String,
     socket: Datagrams,
     members: RefCell<Members>,
-    gate: RefCell<Gate>,
+    gate: RefCell<DatagramAuth>,
     book: RefCell<Book>,
     /// Its own HTTP address and those that others have told.
     door: Option<Door>,
@@ -67,14 +69,17 @@
 ///
 /// # Errors
 /// What the machine would not take.
-pub fn terms(manager: &Manager, life: Life) -> Result<Option<Terms>, RunError> {
+pub fn terms(manager: &Manager, life: InstanceId) -> Result<Option<MembershipConfig>, RunError> {
     let Some(told) = &manager.members else {
         return Ok(None);
     };
     let (name, site) = (told.name.clone(), manager.terms.zone.to_string());
     let id = MemberId::of(&told.cluster, &name);
-    let mut terms = Terms::new(Me { name, id, life, address: told.advertise, site }, told.seeds.clone());
-    terms.period = told.period;
+    let mut terms = MembershipConfig::new(
+        LocalMember { name, id, instance: life, address: told.advertise, site },
+        told.seeds.clone(),
+    );
+    terms.probe_period = told.period;
     terms.check()?;
     Ok(Some(terms))
 }
@@ -85,23 +90,23 @@
     /// # Errors
     /// If the address can't be had, or the keys.
     pub fn start(
-        exec: Exec,
+        exec: Executor,
         seed: u64,
         manager: &Manager,
         owner: &Rc<Owner>,
     ) -> Result<Option<Rc<Fleet>>, RunError> {
-        let life = Life(unguessed());
+        let life = InstanceId(unguessed());
         let (Some(told), Some(terms)) = (&manager.members, terms(manager, life)?) else {
             return Ok(None);
         };
         let address = SocketAddr::V4(told.listen);
         let socket = Datagrams::bind(address).map_err(|why| RunError::Datagrams { address, why })?;
-        let gate = Gate::new(terms.me.id, life, &told.cluster, member_keys(told)?, unguessed());
-        let (id, name) = (terms.me.id, told.name.clone());
-        let mut members = Members::born(ottersail::time::Ms(0.0), seed, terms);
+        let gate = DatagramAuth::new(terms.local.id, life, &told.cluster, member_keys(told)?, unguessed());
+        let (id, name) = (terms.local.id, told.name.clone());
+        let mut members = Members::new(ottersail::time::Ms(0.0), seed, terms);
         let door = Door::of(&manager.listen, told.advertise);
         if let Some(door) = door {
-            members.carry(door::TOPIC, &door.bytes());
+            members.set_piggyback(door::TOPIC, &door.bytes());
         }
         let council = Council::born(ottersail::time::Ms(0.0), seed, life, manager);
         let fleet = Rc::new_cyclic(|me| Fleet {
@@ -141,16 +146,16 @@
         let mut members = self.members.borrow_mut();
         input(&mut members, &mut hands);
         if hands.changed {
-            self.book.borrow_mut().read(members.roster());
-            self.doors.borrow_mut().keep(members.roster());
+            self.book.borrow_mut().read(members.others());
+            self.doors.borrow_mut().keep(members.others());
         }
         // Riders come with probes, one a period: by then a new member might be heard by nobody.
         for id in std::mem::take(&mut hands.met) {
             let now = self.now();
-            self.door.map(|it| members.tell(now, id, door::TOPIC, &it.bytes(), &mut hands));
+            self.door.map(|it| members.send_message(now, id, door::TOPIC, &it.bytes(), &mut hands));
         }
         let Hands { dials, heard, .. } = hands;
-        let due = members.bell_at().0;
+        let due = members.next_deadline().0;
         drop(members);
         dials.into_iter().for_each(|(to, tag)| self.dial(to, tag));
         if due < self.armed.get() {
@@ -182,9 +187,9 @@
         let now = self.now();
         let opened = self.gate.borrow_mut().open::<Message>(now, bytes);
         match opened {
-            Opened::Message { from: id, life, message } => {
-                let sender = From { id, life, address: from };
-                self.told(Some((from, id)), |it, out| it.message(now, sender, message, out));
+            Opened::Message { from: id, instance, message } => {
+                let sender = From { id, instance, address: from };
+                self.told(Some((from, id)), |it, out| it.handle_message(now, sender, message, out));
             }
             Opened::Challenge(reply) | Opened::Resend(reply) => self.send(&reply, from),
             Opened::Dropped(_) => {}
@@ -199,7 +204,7 @@
     /// Rings when the machine wants to be rung.
     async fn ring(self: Rc<Fleet>) {
         loop {
-            let due = self.members.borrow().bell_at();
+            let due = self.members.borrow().next_deadline();
             self.armed.set(due.0);
             let at = self.began + Duration::from_secs_f64(due.0.clamp(0.0, 1e12) / 1e3);
             futures_lite::future::or(Timer::at(at), async {
@@ -207,8 +212,8 @@
             })
             .await;
             let now = self.now();
-            if self.members.borrow().bell_at() <= now {
-                self.told(None, |it, out| it.bell(now, out));
+            if self.members.borrow().next_deadline() <= now {
+                self.told(None, |it, out| it.handle_deadline(now, out));
             }
             // Other tasks have their turn between two rings, however many are due.
             futures_lite::future::yield_now().await;
@@ -217,7 +222,7 @@
 
     /// Other keys from now on; whoever is believed stays so.
     pub fn rekey(&self, keys: &Keys) {
-        self.gate.borrow_mut().rekey(keys);
+        self.gate.borrow_mut().set_keys(keys);
     }
 
     /// Gives back what was leased, for so long at most, and tells the others that this one goes.
--- a/daemon/src/fleet/book.rs
+++ b/daemon/src/fleet/book.rs
@@ -1,6 +1,6 @@
 //! Whose address is whose.
 
-use ottersail_membership::{Address, Known, MemberId, State};
+use ottersail_membership::{Address, MemberId, MemberView, State};
 use std::collections::BTreeMap;
 
 /// The id at each address, where it is one alone: what is sealed for an id is of no use to another.
@@ -8,7 +8,7 @@
 pub(super) struct Book(BTreeMap<Address, Option<MemberId>>);
 
 impl Book {
-    pub fn read<'a>(&mut self, roster: impl Iterator<Item = (&'a MemberId, &'a Known)>) {
+    pub fn read<'a>(&mut self, roster: impl Iterator<Item = (&'a MemberId, &'a MemberView)>) {
         self.0.clear();
         for (id, known) in roster.filter(|it| matches!(it.1.state, State::Alive | State::Suspect)) {
             let entry = self.0.entry(known.address);
@@ -25,18 +25,18 @@
 mod tests {
     use super::*;
     use ottersail::time::Ms;
-    use ottersail_membership::{Hearing, Incarnation, Life};
+    use ottersail_membership::{Incarnation, InstanceId, Reachability};
 
-    fn known(port: u16, state: State) -> Known {
-        Known {
+    fn known(port: u16, state: State) -> MemberView {
+        MemberView {
             name: String::new(),
             state,
             address: Address::new([127, 0, 0, 1].into(), port),
             site: String::new(),
             incarnation: Incarnation(0),
-            life: Life(1),
-            hearing: Hearing::Both,
-            riders: BTreeMap::new(),
+            instance: InstanceId(1),
+            reachability: Reachability::Mutual,
+            piggybacks: BTreeMap::new(),
             since: Ms(0.0),
         }
     }
--- a/daemon/src/fleet/council.rs
+++ b/daemon/src/fleet/council.rs
@@ -29,8 +29,8 @@
 use ottersail::time::Ms;
 use ottersail_consensus as council;
 use ottersail_consensus::Terms as CouncilTerms;
-use ottersail_leases::{Figures, Holder, Needs, Renewals, Rider, Terms};
-use ottersail_membership::{Known, Life, MemberId, State, Topic};
+use ottersail_leases::{Counters, Demand, Holder, LeaseConfig, LeaseGrants, SlotBalancer};
+use ottersail_membership::{InstanceId, MemberId, MemberView, State, Topic};
 use post::{Out, Post, NEED, REVISIONS};
 use releases::Releases;
 use seat::Seat;
@@ -54,7 +54,7 @@
 }
 
 pub(super) struct Council {
-    me: (MemberId, Life),
+    me: (MemberId, InstanceId),
     names: BTreeMap<MemberId, String>,
     own: Head,
     seed: u64,
@@ -72,23 +72,28 @@
     look_at: Ms,
     arrivals: Cell<u32>,
     /// The living, by what the members believe.
-    alive: BTreeMap<MemberId, Life>,
-    figures: Figures,
+    alive: BTreeMap<MemberId, InstanceId>,
+    figures: Counters,
     tally: Tally,
 }
 
 /// What rests on the founding's figures.
 struct Held {
     holder: Holder,
-    needs: Needs,
+    needs: SlotBalancer,
     /// A councillor's.
-    renewals: Renewals,
-    terms: Terms,
+    renewals: LeaseGrants,
+    terms: LeaseConfig,
 }
 
 impl Council {
     /// `None` without `[council]`; with it, a keeper if this is a councillor whose store can be read.
-    pub fn born(now: Ms, seed: u64, life: Life, manager: &Manager) -> Option<(Council, Option<Keeper>)> {
+    pub fn born(
+        now: Ms,
+        seed: u64,
+        life: InstanceId,
+        manager: &Manager,
+    ) -> Option<(Council, Option<Keeper>)> {
         let (members, told) = (manager.members.as_ref()?, manager.council.as_ref()?);
         let id = |name: &String| MemberId::of(&members.cluster, name);
         let me = (id(&members.name), life);
@@ -122,7 +127,7 @@
             look_at: now,
             arrivals: Cell::new(0),
             alive: BTreeMap::new(),
-            figures: Figures::default(),
+            figures: Counters::default(),
             tally: Tally::default(),
         };
         Some((council, keeper))
@@ -134,7 +139,7 @@
     }
 
     pub fn bell_at(&self) -> Ms {
-        let holder = self.held.as_ref().map_or(Ms(f64::INFINITY), |it| it.holder.bell_at());
+        let holder = self.held.as_ref().map_or(Ms(f64::INFINITY), |it| it.holder.next_deadline());
         let releases = self.releases.as_ref().map_or(Ms(f64::INFINITY), Releases::bell_at);
         self.look_at.min(self.seat.bell_at()).min(holder).min(self.share.bell_at()).min(releases)
     }
@@ -143,32 +148,32 @@
     pub fn roster<'a>(
         &mut self,
         now: Ms,
-        all: impl Iterator<Item = (&'a MemberId, &'a Known)>,
+        all: impl Iterator<Item = (&'a MemberId, &'a MemberView)>,
         out: &mut Outs,
     ) {
         if now < self.look_at {
             return;
         }
         self.look_at = now + Ms(f64::from(self.own.lease_ms)) * LOOKS;
-        let up = |it: &(&MemberId, &Known)| matches!(it.1.state, State::Alive | State::Suspect);
+        let up = |it: &(&MemberId, &MemberView)| matches!(it.1.state, State::Alive | State::Suspect);
         let living: Vec<_> = all.filter(up).collect();
-        self.alive = living.iter().map(|(id, known)| (**id, known.life)).collect();
+        self.alive = living.iter().map(|(id, known)| (**id, known.instance)).collect();
         let set = self.alive.keys().copied().chain([self.me.0]).collect();
         self.seat.living(&set);
         let mut wants = Wants::default();
         for (id, known) in &living {
-            if let Some(rider) = known.riders.get(&REVISIONS) {
+            if let Some(rider) = known.piggybacks.get(&REVISIONS) {
                 self.seat.heard(now, **id, rider, &mut wants);
             }
         }
         if let Some(held) = &mut self.held {
-            let rider = |known: &Known| Rider::read(known.riders.get(&NEED)?).ok();
-            held.needs.roster(living.iter().map(|(id, known)| (**id, rider(known))).collect());
-            held.needs.arrived(now, self.arrivals.take());
-            held.holder.roster(self.alive.clone());
-            let wanted = held.needs.aim(now, held.holder.kept());
-            held.holder.aim(now, wanted, &mut wants);
-            if let Ok(bytes) = held.needs.rider(now, held.holder.kept()).bytes() {
+            let rider = |known: &MemberView| Demand::decode(known.piggybacks.get(&NEED)?).ok();
+            held.needs.set_others(living.iter().map(|(id, known)| (**id, rider(known))).collect());
+            held.needs.record_arrivals(now, self.arrivals.take());
+            held.holder.set_alive(self.alive.clone());
+            let wanted = held.needs.next_target(now, held.holder.retained_slots());
+            held.holder.set_target(now, wanted, &mut wants);
+            if let Ok(bytes) = held.needs.demand(now, held.holder.retained_slots()).encode() {
                 out.riders.push((NEED, bytes));
             }
         } else if self.asked.is_empty() {
@@ -206,7 +211,7 @@
     pub fn shrunk(&mut self, now: Ms, out: &mut Outs) {
         let mut wants = Wants::default();
         if let Some(held) = &mut self.held {
-            held.holder.stopped(now, &mut wants);
+            held.holder.finish_shrink(now, &mut wants);
         }
         self.settle(now, wants, out);
     }
@@ -223,6 +228,6 @@
 
     /// No register has a slot in this member's name, as far as is known here.
     pub fn gave_all_back(&self) -> bool {
-        self.held.as_ref().is_none_or(|it| it.holder.gave_all_back())
+        self.held.as_ref().is_none_or(|it| it.holder.has_released_all())
     }
 }
--- a/daemon/src/fleet/council/carry.rs
+++ b/daemon/src/fleet/council/carry.rs
@@ -159,12 +159,12 @@
             self.told(None, |it, out| {
                 for tell in &tells {
                     // One that is not known yet hears it at the next try.
-                    it.tell(now, tell.to, tell.topic, &tell.bytes, out);
+                    it.send_message(now, tell.to, tell.topic, &tell.bytes, out);
                 }
             });
         }
         for (topic, bytes) in riders {
-            self.members.borrow_mut().carry(topic, &bytes);
+            self.members.borrow_mut().set_piggyback(topic, &bytes);
         }
         if let Some(mut part) = part {
             if let (Some(owner), Some(ahead)) = (self.counsel.owner.upgrade(), self.ahead()) {
@@ -212,7 +212,7 @@
                 self.council(|it, now, outs| {
                     self.stands(it, now);
                     it.bell(now, outs);
-                    it.roster(now, self.members.borrow().roster(), outs);
+                    it.roster(now, self.members.borrow().others(), outs);
                 });
             }
             futures_lite::future::yield_now().await;
--- a/daemon/src/fleet/council/figures.rs
+++ b/daemon/src/fleet/council/figures.rs
@@ -126,7 +126,7 @@
         if let Some(it) = &self.releases {
             it.register(now, registry);
         }
-        let part = self.held.as_ref().and_then(|it| it.holder.holds(now));
+        let part = self.held.as_ref().and_then(|it| it.holder.current_share(now));
         let slots: Family<Of, Gauge> = Family::default();
         for slot in self.slots(now) {
             slots.get_or_create(&vec![("slot", slot.to_string())]).set(1);
--- a/daemon/src/fleet/council/keys.rs
+++ b/daemon/src/fleet/council/keys.rs
@@ -1,7 +1,7 @@
 //! What is asked of the council, and what its `Head` holds.
 
 use ottersail_consensus::{Change, Key, MemberId, Outcome, Value};
-use ottersail_leases::{Answer, BucketNo, Terms};
+use ottersail_leases::{Answer, BucketId, LeaseConfig};
 use serde::{Deserialize, Serialize};
 
 const VERSION: u8 = 1;
@@ -26,8 +26,8 @@
         postcard::take_from_bytes(rest).ok().map(|it| it.0)
     }
 
-    pub fn terms(self, councillors: &[MemberId]) -> Terms {
-        Terms {
+    pub fn terms(self, councillors: &[MemberId]) -> LeaseConfig {
+        LeaseConfig {
             slots: self.slots,
             lease_ms: self.lease_ms,
             drift_ppm: self.drift_ppm,
@@ -41,8 +41,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Ask {
     Head,
-    Read(BucketNo),
-    Propose(BucketNo),
+    Read(BucketId),
+    Propose(BucketId),
     /// A register of releases.
     Order(Key),
 }
@@ -97,7 +97,7 @@
     #[test]
     fn what_stands_is_an_answer_to_a_reading_and_against_a_change() {
         let value = Value { revision: 4, body: vec![1], ..absent() };
-        let no = BucketNo(1);
+        let no = BucketId(1);
         let stands = || Outcome::Now(Some(value.clone()));
         let (revision, body) = (4, vec![1]);
         let read = Ask::Read(no).answer(stands());
--- a/daemon/src/fleet/council/leave_tests.rs
+++ b/daemon/src/fleet/council/leave_tests.rs
@@ -12,7 +12,7 @@
     let mut holder = holder();
     holds(&mut holder, Ms(0.0), 1, 2);
     let (needs, renewals) =
-        (Needs::born(Ms(0.0), ME.0, parts.clone()), Renewals::born(Ms(0.0), parts.clone()));
+        (SlotBalancer::new(Ms(0.0), ME.0, parts.clone()), LeaseGrants::new(Ms(0.0), parts.clone()));
     let mut it = Council {
         me: ME,
         names: BTreeMap::new(),
@@ -29,7 +29,7 @@
         look_at: Ms(0.0),
         arrivals: Cell::new(0),
         alive: BTreeMap::new(),
-        figures: Figures::default(),
+        figures: Counters::default(),
         tally: Tally::default(),
     };
     it.bell(Ms(0.0), &mut Outs::default());
--- a/daemon/src/fleet/council/lines.rs
+++ b/daemon/src/fleet/council/lines.rs
@@ -3,7 +3,7 @@
 use super::keys::Head;
 use super::seat::Seat;
 use ottersail_consensus::{Key, Value};
-use ottersail_leases::PartsError;
+use ottersail_leases::LeaseError;
 use ottersail_rollout::{Held, Note, Order, Refusal};
 use tracing::{error, info, warn};
 
@@ -54,7 +54,7 @@
     }
 }
 
-pub(super) fn trouble(trouble: &PartsError) {
+pub(super) fn trouble(trouble: &LeaseError) {
     error!(target: "parts", %trouble, "a register can't be read");
 }
 
--- a/daemon/src/fleet/council/orders.rs
+++ b/daemon/src/fleet/council/orders.rs
@@ -7,11 +7,13 @@
 use super::{lines, Council, Held};
 use ottersail::time::Ms;
 use ottersail_consensus::{Change, Guard, Key, MemberId, Outcome, Stored, Value};
-use ottersail_leases::{Answer, Bucket, BucketNo, Holder, Needs, Renew, Renewals, Seat, Slot, Terms};
+use ottersail_leases::{
+    Answer, Bucket, BucketId, Holder, LeaseConfig, LeaseGrants, Renew, Slot, SlotBalancer, SlotEntry,
+};
 
 /// The leases stand in the way of slots that would be given to another too early, and what a councillor sees in
 /// the way of permits.
-struct Leases<'a>(Option<&'a Renewals>, Option<&'a Releases>);
+struct Leases<'a>(Option<&'a LeaseGrants>, Option<&'a Releases>);
 
 impl Guard for Leases<'_> {
     fn allows(&self, now: Ms, key: Key, held: &Stored, to: &Value) -> bool {
@@ -22,7 +24,7 @@
         };
         let from = held.accepted(key).map_or(&[][..], |it| &it.body);
         // Without the founding's figures no slots can be told apart.
-        self.0.is_some_and(|it| it.allows_body(now, BucketNo(no), from, &to.body))
+        self.0.is_some_and(|it| it.allows_encoded(now, BucketId(no), from, &to.body))
     }
 }
 
@@ -33,7 +35,7 @@
             Input::Bell => {
                 self.seat.bell(now, &guard, wants);
                 if let Some(held) = &mut self.held {
-                    held.holder.bell(now, wants);
+                    held.holder.handle_deadline(now, wants);
                 }
                 if let Some(it) = &mut self.releases {
                     it.bell(now, wants);
@@ -80,8 +82,8 @@
         let accepted = |slot: Slot| {
             let no = slot.bucket();
             let body = registers.get(&Key::Slots(no.0)).and_then(|it| it.accepted.as_ref());
-            let bucket = body.and_then(|it| Bucket::read(no, terms.seats(no), &it.1.body).ok());
-            bucket.map_or(Seat::default(), |it| seat_of(terms, &it, no, slot))
+            let bucket = body.and_then(|it| Bucket::decode(no, terms.slots_in(no), &it.1.body).ok());
+            bucket.map_or(SlotEntry::default(), |it| seat_of(terms, &it, no, slot))
         };
         let answer = held.renewals.renew(now, from, ask, accepted);
         self.tally.renewals(ask.slots.len() - answer.refused.len(), answer.refused.len());
@@ -94,7 +96,9 @@
             (Key::Head, _) => self.founded(now, value),
             (Key::Order(_), _) => self.ordered(now, key, value, wants),
             (Key::Slots(no), Some(held)) => {
-                if let Err(trouble) = held.holder.learned(BucketNo(no), value.revision, &value.body, wants) {
+                if let Err(trouble) =
+                    held.holder.register_changed(BucketId(no), value.revision, &value.body, wants)
+                {
                     lines::trouble(&trouble);
                 }
             }
@@ -117,11 +121,11 @@
         self.held = Some(self.holding(now, terms));
     }
 
-    fn holding(&self, now: Ms, terms: Terms) -> Held {
+    fn holding(&self, now: Ms, terms: LeaseConfig) -> Held {
         Held {
-            holder: Holder::born(now, self.seed, self.me, terms.clone()),
-            needs: Needs::born(now, self.me.0, terms.clone()),
-            renewals: Renewals::born(now, terms.clone()),
+            holder: Holder::new(now, self.seed, self.me, terms.clone()),
+            needs: SlotBalancer::new(now, self.me.0, terms.clone()),
+            renewals: LeaseGrants::new(now, terms.clone()),
             terms,
         }
     }
@@ -143,7 +147,7 @@
                     return;
                 }
                 if let Some(held) = &mut self.held {
-                    if let Err(trouble) = held.holder.answered(now, no, answer, wants) {
+                    if let Err(trouble) = held.holder.council_answered(now, no, answer, wants) {
                         lines::trouble(&trouble);
                     }
                 }
@@ -153,7 +157,7 @@
 }
 
 /// All buckets but the last are as long as the first.
-fn seat_of(terms: &Terms, bucket: &Bucket, no: BucketNo, slot: Slot) -> Seat {
-    let first = usize::from(no.0) * terms.seats(BucketNo(0));
-    bucket.seat(usize::from(slot.0) - first)
+fn seat_of(terms: &LeaseConfig, bucket: &Bucket, no: BucketId, slot: Slot) -> SlotEntry {
+    let first = usize::from(no.0) * terms.slots_in(BucketId(0));
+    bucket.entry(usize::from(slot.0) - first)
 }
--- a/daemon/src/fleet/council/post.rs
+++ b/daemon/src/fleet/council/post.rs
@@ -2,7 +2,7 @@
 
 use ottersail_consensus::Message;
 use ottersail_leases::{Release, Renew, Renewed};
-use ottersail_membership::{Life, MemberId, Topic};
+use ottersail_membership::{InstanceId, MemberId, Topic};
 use ottersail_rollout::Stand;
 use serde::de::DeserializeOwned;
 
@@ -22,7 +22,7 @@
     Renew(Renew),
     Renewed(Renewed),
     Release(Release),
-    Stand(Life, Stand),
+    Stand(InstanceId, Stand),
 }
 
 /// Bytes for another member.
@@ -75,16 +75,16 @@
 mod tests {
     use super::*;
     use ottersail_consensus::{Ballot, Key};
-    use ottersail_leases::{Epoch, Life, Slot};
+    use ottersail_leases::{Epoch, InstanceId, Slot};
 
     #[test]
     fn each_is_read_as_what_it_was() {
-        let (life, slots) = (Life(3), vec![(Slot(1), Epoch(2))]);
+        let (life, slots) = (InstanceId(3), vec![(Slot(1), Epoch(2))]);
         let posts = [
             Post::Council(Message::Prepare { key: Key::Slots(1), ballot: Ballot::default() }),
-            Post::Renew(Renew { life, number: 1, slots: slots.clone() }),
-            Post::Renewed(Renewed { life, number: 1, refused: vec![Slot(1)] }),
-            Post::Release(Release { life, slots }),
+            Post::Renew(Renew { instance: life, number: 1, slots: slots.clone() }),
+            Post::Renewed(Renewed { instance: life, number: 1, refused: vec![Slot(1)] }),
+            Post::Release(Release { instance: life, slots }),
         ];
         for post in posts {
             let mut bytes = post.bytes().unwrap();
--- a/daemon/src/fleet/council/releases.rs
+++ b/daemon/src/fleet/council/releases.rs
@@ -7,7 +7,7 @@
 use super::{lines, Council};
 use ottersail::time::Ms;
 use ottersail_consensus::{Key, MemberId, Message, Outcome, Stored, Value};
-use ottersail_membership::{Known, Life, State};
+use ottersail_membership::{InstanceId, MemberView, State};
 use ottersail_rollout::{
     answered, follows, given, Answered, Book, Conductor, Counts, Given, Going, Guards, Holder, Name, Order,
     Outcome as Proposed, Presence, Seen, Stand,
@@ -31,7 +31,7 @@
 impl Releases {
     pub fn born(
         now: Ms,
-        me: (MemberId, Life),
+        me: (MemberId, InstanceId),
         version: Name,
         (councillors, period): (&[MemberId], Ms),
     ) -> Releases {
@@ -56,18 +56,18 @@
         &mut self,
         now: Ms,
         me: (MemberId, Seen),
-        all: impl Iterator<Item = (&'a MemberId, &'a Known)>,
+        all: impl Iterator<Item = (&'a MemberId, &'a MemberView)>,
         conducts: bool,
     ) {
         let Some(conductor) = &mut self.conductor else { return };
-        let seen = |known: &Known| {
+        let seen = |known: &MemberView| {
             let state = match known.state {
                 State::Alive => Presence::Alive,
                 State::Suspect => Presence::Suspect,
                 State::Dead | State::Left => return None,
             };
             Some(Seen {
-                life: known.life,
+                life: known.instance,
                 name: Name::new(&known.name)?,
                 zone: Name::new(&known.site),
                 state,
@@ -138,7 +138,7 @@
         }
     }
 
-    pub(super) fn stood(&mut self, now: Ms, from: MemberId, life: Life, stand: &Stand) {
+    pub(super) fn stood(&mut self, now: Ms, from: MemberId, life: InstanceId, stand: &Stand) {
         if let Some(it) = self.releases.as_mut().and_then(|it| it.conductor.as_mut()) {
             it.stand(now, from, life, stand);
         }
@@ -189,7 +189,7 @@
     pub(super) fn release<'a>(
         &mut self,
         now: Ms,
-        all: impl Iterator<Item = (&'a MemberId, &'a Known)>,
+        all: impl Iterator<Item = (&'a MemberId, &'a MemberView)>,
         wants: &mut Wants,
     ) {
         let conducts = self.seat.follower().preferred() == Some(self.me.0) && self.seat.sound().is_some();
--- a/daemon/src/fleet/council/seat.rs
+++ b/daemon/src/fleet/council/seat.rs
@@ -130,7 +130,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use ottersail_consensus::{Ballot, Life, Memory, Open};
+    use ottersail_consensus::{Ballot, InstanceId, Memory, Open};
 
     /// Symptom without that: a councillor goes on to promise what no disk holds.
     #[test]
@@ -138,12 +138,12 @@
         let folder = tempfile::tempdir().unwrap();
         let (store, stored) = Store::open(&folder.path().join("council"), Memory(5)).unwrap();
         let [me, other, third] = [1, 2, 3].map(MemberId);
-        let terms = Terms::new(me, Life(4), &[me, other, third], 1);
+        let terms = Terms::new(me, InstanceId(4), &[me, other, third], 1);
         let opened = Some((store, Stored { sound: true, ..stored }));
         let (mut seat, keeper) = Seat::born(Ms(0.0), &terms, opened);
         assert!(keeper.is_some() && seat.is_councillor());
         assert_eq!((seat.turned(), seat.turned()), (Some(true), None), "told once");
-        let ballot = Ballot { number: 1, proposer: other, life: Life(9) };
+        let ballot = Ballot { number: 1, proposer: other, life: InstanceId(9) };
         let prepare = Message::Prepare { key: Key::Head, ballot };
         let kept = |seat: &mut Seat| {
             let mut wants = Wants::default();
--- a/daemon/src/fleet/council/settle.rs
+++ b/daemon/src/fleet/council/settle.rs
@@ -23,7 +23,7 @@
         if let Some(it) = self.seat.turned() {
             lines::sound(it);
             if let (true, Some(held)) = (it, &mut self.held) {
-                held.renewals.recovered(now);
+                held.renewals.restart_quiet_period(now);
             }
         }
         let holder = self.held.as_ref().map(|it| &it.holder);
--- a/daemon/src/fleet/council/share.rs
+++ b/daemon/src/fleet/council/share.rs
@@ -57,7 +57,7 @@
     /// What the module is to be told, if that is other than before; `anyway` if somebody waits for it. Its
     /// `until` is by the members' clock yet.
     pub fn look(&mut self, now: Ms, holder: Option<&Holder>, anyway: bool) -> Option<Part> {
-        let part = holder.and_then(|it| it.holds(now));
+        let part = holder.and_then(|it| it.current_share(now));
         // One slot's lease may end before the others': only an end of all of them is worth a line.
         if part.is_none() && !self.since.is_empty() && now >= self.until {
             self.ran_out += 1;
--- a/daemon/src/fleet/council/share_tests.rs
+++ b/daemon/src/fleet/council/share_tests.rs
@@ -3,33 +3,34 @@
 use super::share::Share;
 use super::wants::Wants;
 use ottersail::time::Ms;
-use ottersail_leases::{Bucket, BucketNo, Guards, Holder, Life, MemberId, Renewed, Terms};
+use ottersail_leases::{Bucket, BucketId, Guards, Holder, InstanceId, LeaseConfig, MemberId, Renewed};
 
-pub(super) const ME: (MemberId, Life) = (MemberId(1), Life(2));
+pub(super) const ME: (MemberId, InstanceId) = (MemberId(1), InstanceId(2));
 pub(super) const COUNCILLOR: MemberId = MemberId(9);
 pub(super) const WINDOW: Ms = Ms(300.0);
 
 pub(super) fn holder() -> Holder {
     #[allow(clippy::default_constructed_unit_structs)]
     let guards = Guards::default();
-    let terms = Terms { slots: 32, lease_ms: 1_000, drift_ppm: 0, councillors: vec![COUNCILLOR], guards };
-    Holder::born(Ms(0.0), 1, ME, terms)
+    let terms =
+        LeaseConfig { slots: 32, lease_ms: 1_000, drift_ppm: 0, councillors: vec![COUNCILLOR], guards };
+    Holder::new(Ms(0.0), 1, ME, terms)
 }
 
 /// Holds so many slots from then on, asked for at that moment.
 pub(super) fn holds(holder: &mut Holder, now: Ms, revision: u64, slots: usize) {
-    holder.aim(now, slots as u16, &mut Wants::default());
-    let body = Bucket::empty(24).acquire(slots, ME).body().unwrap();
-    holder.learned(BucketNo(0), revision, &body, &mut Wants::default()).unwrap();
+    holder.set_target(now, slots as u16, &mut Wants::default());
+    let body = Bucket::empty(24).acquire(slots, ME).encode().unwrap();
+    holder.register_changed(BucketId(0), revision, &body, &mut Wants::default()).unwrap();
     renewed(holder, now);
 }
 
 fn renewed(holder: &mut Holder, now: Ms) {
     let mut wants = Wants::default();
-    holder.bell(now, &mut wants);
+    holder.handle_deadline(now, &mut wants);
     for (to, post) in wants.posts {
         if let super::post::Post::Renew(it) = post {
-            let answer = Renewed { life: it.life, number: it.number, refused: vec![] };
+            let answer = Renewed { instance: it.instance, number: it.number, refused: vec![] };
             holder.renewed(now, to, &answer, &mut Wants::default());
         }
     }
--- a/daemon/src/fleet/council/wants.rs
+++ b/daemon/src/fleet/council/wants.rs
@@ -4,7 +4,7 @@
 use super::post::Post;
 use super::releases::{BOOK, ORDER};
 use ottersail_consensus::{Key, Message, Outcome, Record, Token, Value};
-use ottersail_leases::{BucketNo, Note, Part, Release, Renew};
+use ottersail_leases::{BucketId, LeaseEvent, Release, Renew, SlotShare};
 use ottersail_membership::MemberId;
 use ottersail_rollout::{Book, Note as Told, Order, Stand};
 
@@ -16,8 +16,8 @@
     Kept(Token),
     Chosen(Key, Value),
     Answered(u64, Outcome),
-    Read(BucketNo),
-    Propose(BucketNo, u64, Vec<u8>),
+    Read(BucketId),
+    Propose(BucketId, u64, Vec<u8>),
     Put(Key, u64, Vec<u8>),
 }
 
@@ -26,7 +26,7 @@
     pub posts: Vec<(MemberId, Post)>,
     pub keeps: Vec<Wish>,
     pub inputs: Vec<Input>,
-    pub notes: Vec<Note>,
+    pub notes: Vec<LeaseEvent>,
     /// To every councillor.
     pub stands: Vec<Stand>,
     pub told: Vec<Told>,
@@ -57,7 +57,7 @@
     }
 }
 
-impl ottersail_leases::Wishes for Wants {
+impl ottersail_leases::Effects for Wants {
     fn renew(&mut self, to: MemberId, message: &Renew) {
         self.posts.push((to, Post::Renew(message.clone())));
     }
@@ -66,20 +66,20 @@
         self.posts.push((to, Post::Release(message.clone())));
     }
 
-    fn read(&mut self, bucket: BucketNo) {
+    fn read(&mut self, bucket: BucketId) {
         self.inputs.push(Input::Read(bucket));
     }
 
-    fn propose(&mut self, bucket: BucketNo, if_revision: u64, body: Vec<u8>) {
+    fn propose(&mut self, bucket: BucketId, if_revision: u64, body: Vec<u8>) {
         self.inputs.push(Input::Propose(bucket, if_revision, body));
     }
 
     /// The part itself is read from the holder when the module is told.
-    fn shrink(&mut self, _: Option<Part>) {
+    fn shrink(&mut self, _: Option<SlotShare>) {
         self.shrunk = true;
     }
 
-    fn note(&mut self, note: Note) {
+    fn note(&mut self, note: LeaseEvent) {
         self.notes.push(note);
     }
 }
--- a/daemon/src/fleet/door.rs
+++ b/daemon/src/fleet/door.rs
@@ -1,7 +1,7 @@
 //! The second way to a member: its own HTTP address, which it tells as a rider of its datagrams.
 
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ottersail_membership::{Address, Known, MemberId, Topic};
+use ottersail_membership::{Address, MemberId, MemberView, Topic};
 use ottersail_net::{Stream, Timer};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -45,8 +45,8 @@
         Some(Door(SocketAddrV4::new(Ipv4Addr::new(a, b, c, d), u16::from_be_bytes([high, low]))))
     }
 
-    fn carried(known: &Known) -> Option<Door> {
-        Door::read(known.riders.get(&TOPIC)?)
+    fn carried(known: &MemberView) -> Option<Door> {
+        Door::read(known.piggybacks.get(&TOPIC)?)
     }
 }
 
@@ -64,7 +64,7 @@
 
     /// Once there are many, those of members that are not known are given up. Not before: one that comes in
     /// may tell its door before anybody has told of it.
-    pub fn keep<'a>(&mut self, roster: impl Iterator<Item = (&'a MemberId, &'a Known)>) {
+    pub fn keep<'a>(&mut self, roster: impl Iterator<Item = (&'a MemberId, &'a MemberView)>) {
         if self.0.len() <= MOST_DOORS {
             return;
         }
@@ -75,14 +75,14 @@
     pub fn of<'a>(
         &self,
         id: MemberId,
-        mut roster: impl Iterator<Item = (&'a MemberId, &'a Known)>,
+        mut roster: impl Iterator<Item = (&'a MemberId, &'a MemberView)>,
     ) -> Option<Door> {
         let told = self.0.get(&id).copied();
         told.or_else(|| Door::carried(roster.find(|it| *it.0 == id)?.1))
     }
 
     /// How many of the members have told theirs.
-    pub fn count<'a>(&self, roster: impl Iterator<Item = (&'a MemberId, &'a Known)>) -> usize {
+    pub fn count<'a>(&self, roster: impl Iterator<Item = (&'a MemberId, &'a MemberView)>) -> usize {
         roster.filter(|(id, known)| self.0.contains_key(id) || Door::carried(known).is_some()).count()
     }
 }
@@ -172,7 +172,7 @@
         let (mut doors, door) = (Doors::default(), Door(at("10.0.0.9:80")));
         doors.hear(MemberId(1), &door.bytes());
         doors.hear(MemberId(2), b"none");
-        let none = || std::iter::empty::<(&MemberId, &Known)>();
+        let none = || std::iter::empty::<(&MemberId, &MemberView)>();
         doors.keep(none());
         assert_eq!([1, 2].map(|it| doors.of(MemberId(it), none())), [Some(door), None]);
         (0..MOST_DOORS as u64).for_each(|it| doors.hear(MemberId(3 + it), &door.bytes()));
--- a/daemon/src/fleet/figures.rs
+++ b/daemon/src/fleet/figures.rs
@@ -1,8 +1,8 @@
 //! The members' part of the page of figures.
 
 use super::{lines, Fleet};
-use ottersail_membership::gate::Why;
-use ottersail_membership::{Figures, Hearing, State};
+use ottersail_membership::auth::DropReason;
+use ottersail_membership::{Counters, Reachability, State};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
@@ -12,8 +12,13 @@
 type Of = Vec<(&'static str, String)>;
 
 const STATES: [State; 4] = [State::Alive, State::Suspect, State::Dead, State::Left];
-const HEARINGS: [Hearing; 5] =
-    [Hearing::Both, Hearing::OnlyIHear, Hearing::OnlyHeard, Hearing::ByOthers, Hearing::Nobody];
+const HEARINGS: [Reachability; 5] = [
+    Reachability::Mutual,
+    Reachability::InboundOnly,
+    Reachability::OutboundOnly,
+    Reachability::ThroughOthers,
+    Reachability::Unreachable,
+];
 
 /// What went over the socket.
 #[derive(Debug, Default)]
@@ -61,20 +66,21 @@
         let (by_state, by_hearing, each): (Family<Of, Gauge>, Family<Of, Gauge>, Family<Of, Gauge>) =
             Default::default();
         for state in STATES {
-            let count = members.roster().filter(|it| it.1.state == state).count() as u64;
+            let count = members.others().filter(|it| it.1.state == state).count() as u64;
             gauge(&by_state, vec![("state", lines::state(state).into())], count);
         }
-        let up = || members.roster().filter(|it| matches!(it.1.state, State::Alive | State::Suspect));
+        let up = || members.others().filter(|it| matches!(it.1.state, State::Alive | State::Suspect));
         for hearing in HEARINGS {
-            let count = up().filter(|it| it.1.hearing == hearing).count() as u64;
+            let count = up().filter(|it| it.1.reachability == hearing).count() as u64;
             gauge(&by_hearing, vec![("hearing", lines::hearing(hearing).into())], count);
         }
-        for (_, known) in members.roster() {
-            let (state, hearing) = (lines::state(known.state).into(), lines::hearing(known.hearing).into());
+        for (_, known) in members.others() {
+            let (state, hearing) =
+                (lines::state(known.state).into(), lines::hearing(known.reachability).into());
             gauge(&each, vec![("name", known.name.clone()), ("state", state), ("hearing", hearing)], 1);
         }
         let doors: Gauge = Gauge::default();
-        doors.set(self.doors.borrow().count(members.roster()) as i64);
+        doors.set(self.doors.borrow().count(members.others()) as i64);
         registry.register("member_doors", "Members whose HTTP address is known, for the second way", doors);
         registry.register("members", "Other members known, by state", by_state);
         registry.register("members_heard", "Members not dead, by who hears whom", by_hearing);
@@ -86,7 +92,7 @@
             count(&bytes, vec![("way", name.into())], self.tally.bytes[way].get());
         }
         let gate = self.gate.borrow();
-        for why in Why::ALL {
+        for why in DropReason::ALL {
             count(&dropped, vec![("kind", why.name().into())], gate.dropped(why));
         }
         count(&dropped, vec![("kind", "odd".into())], self.tally.odd.get());
@@ -94,15 +100,15 @@
         registry.register("member_datagrams", "Datagrams between members", datagrams);
         registry.register("member_bytes", "Bytes of datagrams between members", bytes);
         registry.register("member_datagrams_dropped", "Datagrams dropped, by kind", dropped);
-        let Figures { health, suspicions, refutations, burials, pauses, conflicts, dials, .. } =
-            members.figures();
+        let Counters { health, suspicions, refutations, deaths, pauses, conflicts, dials, .. } =
+            members.counters();
         let own: Gauge = Gauge::default();
         own.set(i64::from(health));
         registry.register("member_health", "Own health, from 0 (well) to 8", own);
         let counts = [
             ("member_suspicions", "Members suspected", suspicions),
             ("member_refutations", "Times this member contradicted what was said of it", refutations),
-            ("member_burials", "Members believed dead", burials),
+            ("member_burials", "Members believed dead", deaths),
             ("member_pauses", "Times this process stood still", pauses),
             ("member_conflicts", "Times this name was found held by another", conflicts),
             ("member_dials", "Members tried on the second way", dials),
--- a/daemon/src/fleet/hands.rs
+++ b/daemon/src/fleet/hands.rs
@@ -1,7 +1,7 @@
 //! What the machine wishes.
 
 use super::{door, lines, Fleet};
-use ottersail_membership::{Address, Change, DialTag, MemberId, Message, State, Topic, Wishes};
+use ottersail_membership::{Address, Change, DialId, Effects, MemberId, Message, State, Topic};
 use tracing::error;
 
 /// Sends at once; dials once the machine has come back, since their answers are inputs of it.
@@ -9,7 +9,7 @@
     pub fleet: &'a Fleet,
     /// Who is being answered: the book may not know it yet.
     pub partner: Option<(Address, MemberId)>,
-    pub dials: Vec<(Address, DialTag)>,
+    pub dials: Vec<(Address, DialId)>,
     /// Who came in or came back.
     pub met: Vec<MemberId>,
     /// For the layers above, once the machine has come back: they may tell others in turn.
@@ -18,7 +18,7 @@
     pub changed: bool,
 }
 
-impl Wishes for Hands<'_> {
+impl Effects for Hands<'_> {
     fn send(&mut self, to: Address, message: &Message) {
         let partner = self.partner.filter(|it| it.0 == to).map(|it| it.1);
         let id = partner.or_else(|| self.fleet.book.borrow().id(to));
@@ -32,11 +32,11 @@
         }
     }
 
-    fn dial(&mut self, to: Address, tag: DialTag) {
+    fn dial(&mut self, to: Address, tag: DialId) {
         self.dials.push((to, tag));
     }
 
-    fn hear(&mut self, from: MemberId, topic: Topic, bytes: &[u8]) {
+    fn deliver(&mut self, from: MemberId, topic: Topic, bytes: &[u8]) {
         if topic == door::TOPIC {
             self.fleet.doors.borrow_mut().hear(from, bytes);
         } else {
--- a/daemon/src/fleet/lines.rs
+++ b/daemon/src/fleet/lines.rs
@@ -1,6 +1,6 @@
 //! Changes as lines of the log, target `members`.
 
-use ottersail_membership::{Change, Hearing, State, Why};
+use ottersail_membership::{Change, Reachability, State, StateChangeReason};
 use tracing::{info, warn};
 
 pub(super) fn state(it: State) -> &'static str {
@@ -12,23 +12,23 @@
     }
 }
 
-pub(super) fn hearing(it: Hearing) -> &'static str {
+pub(super) fn hearing(it: Reachability) -> &'static str {
     match it {
-        Hearing::Both => "both",
-        Hearing::OnlyIHear => "only-i-hear",
-        Hearing::OnlyHeard => "only-heard",
-        Hearing::ByOthers => "by-others",
-        Hearing::Nobody => "nobody",
+        Reachability::Mutual => "both",
+        Reachability::InboundOnly => "only-i-hear",
+        Reachability::OutboundOnly => "only-heard",
+        Reachability::ThroughOthers => "by-others",
+        Reachability::Unreachable => "nobody",
     }
 }
 
-fn cause(it: Why) -> &'static str {
+fn cause(it: StateChangeReason) -> &'static str {
     match it {
-        Why::Joined => "joined",
-        Why::Refuted => "refuted",
-        Why::Unanswered => "unanswered",
-        Why::RanOut => "ran-out",
-        Why::Told => "told",
+        StateChangeReason::Joined => "joined",
+        StateChangeReason::Refuted => "refuted",
+        StateChangeReason::ProbeFailed => "unanswered",
+        StateChangeReason::SuspicionExpired => "ran-out",
+        StateChangeReason::Reported => "told",
     }
 }
 
@@ -38,14 +38,14 @@
             let (was, is, why) = (was.map_or("unknown", state), state(*is), cause(*why));
             info!(target: "members", name, %id, was, is, why, "believed");
         }
-        Change::Hearing { id, was, is } => {
+        Change::Reachability { id, was, is } => {
             info!(target: "members", %id, was = hearing(*was), is = hearing(*is), "hearing");
         }
-        Change::Held { by, life } => warn!(
-            target: "members", %by, %life,
+        Change::NameConflict { by, instance } => warn!(
+            target: "members", %by, life = %instance,
             "this name is held by another that answers; this one stays out until that is gone"
         ),
-        Change::Entered => info!(target: "members", "came in"),
+        Change::Joined => info!(target: "members", "came in"),
         Change::Paused { late } => {
             warn!(target: "members", late_ms = late.0.round(), "this process stood still; nobody is buried for that");
         }
--- a/daemon/src/fleet/second.rs
+++ b/daemon/src/fleet/second.rs
@@ -2,17 +2,17 @@
 
 use super::door::{knock, Door};
 use super::Fleet;
-use ottersail_membership::{Address, DialTag};
+use ottersail_membership::{Address, DialId};
 
 impl Fleet {
     /// The second way: the member's own HTTP address. No answer within a period is none.
-    pub(super) fn dial(&self, to: Address, tag: DialTag) {
+    pub(super) fn dial(&self, to: Address, tag: DialId) {
         // An address of two is of nobody: whoever answers there vouches for neither.
         let id = self.book.borrow().id(to);
         let (Some(id), Some(held)) = (id, self.knocks.one_more()) else {
             return self.dialled(tag, false);
         };
-        let told = self.doors.borrow().of(id, self.members.borrow().roster());
+        let told = self.doors.borrow().of(id, self.members.borrow().others());
         // One that has not told it yet may have both at one address.
         let door = told.unwrap_or(Door::at(to));
         let Some(fleet) = self.me.upgrade() else {
@@ -27,8 +27,8 @@
         self.exec.spawn(task).detach();
     }
 
-    fn dialled(&self, tag: DialTag, up: bool) {
+    fn dialled(&self, tag: DialId, up: bool) {
         let now = self.now();
-        self.told(None, |it, out| it.dialled(now, tag, up, out));
+        self.told(None, |it, out| it.handle_dial_result(now, tag, up, out));
     }
 }
--- a/daemon/src/node/hub.rs
+++ b/daemon/src/node/hub.rs
@@ -2,7 +2,7 @@
 
 use super::output::Sockets;
 use ottersail::time::Ms;
-use ottersail_net::{Clock, Exec, Timer};
+use ottersail_net::{Clock, Executor, Timer};
 use ottersail_platform::node::Node;
 use std::cell::{Cell, RefCell};
 use std::future::{poll_fn, Future};
@@ -29,7 +29,7 @@
 
 /// All tasks of the manager hold it; none holds it across a wait.
 pub(crate) struct Hub {
-    pub exec: Exec,
+    pub exec: Executor,
     pub clock: Clock,
     pub node: RefCell<Node>,
     pub sockets: RefCell<Sockets>,
--- a/daemon/src/owner.rs
+++ b/daemon/src/owner.rs
@@ -9,11 +9,11 @@
 use crate::post::{Core, Errand, News, Slot};
 use async_channel::{Receiver, Sender};
 use hands::Hands;
-use ottersail_cores::Room;
+use ottersail_cores::OwnerLoad;
 use ottersail_front::ids::ViewingId;
 use ottersail_front::tape::{Scribe, Told};
 use ottersail_front::{AskId, Front, Ms};
-use ottersail_net::{slept, Clock, Server, Timer};
+use ottersail_net::{idle_time, Clock, ConnectionCounts, Timer};
 pub use record::Tape;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::BTreeMap;
@@ -36,12 +36,12 @@
     /// order, so that a set-up is closed before the next goes out, also where its core stands still in
     /// between.
     homes: RefCell<BTreeMap<ViewingId, usize>>,
-    room: RefCell<Room>,
+    room: RefCell<OwnerLoad>,
     sweep_homes_at: Cell<usize>,
     armed: Cell<f64>,
     rearm: (Sender<()>, Receiver<()>),
     times: Times,
-    server: Arc<Server>,
+    server: Arc<ConnectionCounts>,
     /// The other members, if it has any; the front knows its part of what all share.
     pub fleet: OnceCell<Rc<Fleet>>,
     /// Time spent in the front so far.
@@ -55,7 +55,7 @@
         tape: Option<Tape>,
         cores: Vec<Arc<Core>>,
         times: Times,
-        server: Arc<Server>,
+        server: Arc<ConnectionCounts>,
     ) -> Rc<Owner> {
         Rc::new(Owner {
             clock,
@@ -65,7 +65,7 @@
             slots: RefCell::default(),
             cores,
             homes: RefCell::default(),
-            room: RefCell::new(Room::new(clock.now())),
+            room: RefCell::new(OwnerLoad::new(clock.now())),
             sweep_homes_at: Cell::new(1024),
             armed: Cell::new(f64::INFINITY),
             rearm: async_channel::bounded(1),
@@ -208,8 +208,8 @@
     fn settle_at(&self, vw: &ViewingId, ask: Option<AskId>) {
         let asker = ask.map_or(0, |it| it.0 as usize % self.cores.len());
         let mut room = self.room.borrow_mut();
-        room.look(self.clock.now(), slept().as_secs_f64() * 1e3);
-        let core = room.home(asker);
+        room.sample(self.clock.now(), idle_time().as_secs_f64() * 1e3);
+        let core = room.core_for(asker);
         self.homes.borrow_mut().entry(vw.clone()).or_insert(core);
     }
 
--- a/daemon/src/post.rs
+++ b/daemon/src/post.rs
@@ -1,10 +1,10 @@
 //! What goes between the owner of placement and the cores that hold connections.
 
 use async_channel::{Receiver, Sender};
-use ottersail_cores::{vigil, Claim};
+use ottersail_cores::{stall, Claim};
 use ottersail_front::tape::Told;
 use ottersail_front::{AskId, Reply};
-use ottersail_net::Line;
+use ottersail_net::ConnectionHandle;
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -22,7 +22,7 @@
     /// The owner's answer, for whoever gives it.
     pub reply: Mutex<Option<Reply>>,
     pub ready: Sender<()>,
-    pub line: Line,
+    pub line: ConnectionHandle,
     /// When it came, and when it must be answered at the latest, in milliseconds since 1970.
     pub began: f64,
     pub due: f64,
@@ -140,7 +140,7 @@
     }
 
     pub fn is_still(&self, now: f64) -> bool {
-        vigil::is_still(now, self.moved.load(Ordering::Acquire) as f64)
+        stall::is_stalled(now, self.moved.load(Ordering::Acquire) as f64)
     }
 }
 
--- a/daemon/src/rescue.rs
+++ b/daemon/src/rescue.rs
@@ -3,7 +3,7 @@
 use crate::post::News;
 use crate::service::raw;
 use crate::worker::Shared;
-use ottersail_cores::{vigil, Stage};
+use ottersail_cores::{stall, Stage};
 use ottersail_front::tape::Told;
 use ottersail_front::{AskId, Reply};
 use ottersail_net::Timer;
@@ -14,7 +14,7 @@
 /// Watches all other cores for ever.
 pub async fn watch(shared: Arc<Shared>, me: usize) {
     loop {
-        Timer::after(Duration::from_secs_f64(vigil::LOOK / 1e3)).await;
+        Timer::after(Duration::from_secs_f64(stall::CHECK_INTERVAL_MS / 1e3)).await;
         let now = shared.clock.now();
         for (index, core) in shared.cores.iter().enumerate() {
             if index == me || !core.is_still(now) {
@@ -26,7 +26,7 @@
             };
             for (ask, slot) in waiting {
                 let has_reply = slot.reply.lock().unwrap_or_else(PoisonError::into_inner).is_some();
-                if !vigil::answers_for(now, slot.due, has_reply) {
+                if !stall::should_answer_for(now, slot.due, has_reply) {
                     continue;
                 }
                 let Some(stage) = slot.claim.answer() else {
@@ -45,7 +45,7 @@
 /// The owner has said nothing: what can be said without it.
 fn in_place(shared: &Shared, ask: AskId, stage: Stage) -> Reply {
     match stage {
-        Stage::Put => Reply::Blocked { stay_away: shared.reach.stay_away },
+        Stage::Pending => Reply::Blocked { stay_away: shared.reach.stay_away },
         Stage::Taken => {
             // Should the queue be full, the viewer's silence tells the owner later.
             _ = shared.news.try_send(News::Happened { told: Told::Left { ask }, slot: None });
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -19,7 +19,7 @@
 use ottersail_front::decisions::Decisions;
 use ottersail_front::tape::Told;
 use ottersail_front::{Answers, Front, House, Ms};
-use ottersail_membership::Life;
+use ottersail_membership::InstanceId;
 use ottersail_net::{block_on, executor, Clock, Timer};
 use ottersail_signed_urls::Keys;
 use process::end_with_parent;
@@ -47,7 +47,7 @@
     let keys = std::fs::read_to_string(&manager.keys).map_err(|it| wrong(it.to_string()))?;
     let keys = Keys::read(&keys).map_err(|it| wrong(it.to_string()))?;
     manager.members.as_ref().map(member_keys).transpose()?;
-    fleet::terms(&manager, Life(0))?;
+    fleet::terms(&manager, InstanceId(0))?;
     Ok((text, manager, keys))
 }
 
--- a/daemon/src/run/start.rs
+++ b/daemon/src/run/start.rs
@@ -10,10 +10,11 @@
 use crate::worker::{Shared, Worker};
 use arc_swap::ArcSwap;
 use async_channel::Receiver;
-use ottersail_cores::Spread;
+use ottersail_cores::ConnectionBalancer;
 use ottersail_front::Front;
 use ottersail_net::{
-    accept, block_on, executor, listen, serve_one, Accepted, Clock, Exec, Limits, Listener, Nursery, Server,
+    accept, block_on, executor, listen, serve_connection, Accepted, Clock, ConnectionCounts, Executor,
+    Limits, Listener, TaskGroup,
 };
 use ottersail_signed_urls::Keys;
 use std::net::SocketAddr;
@@ -31,7 +32,7 @@
 pub struct Running {
     pub owner: Rc<Owner>,
     pub shared: Arc<Shared>,
-    pub server: Arc<Server>,
+    pub server: Arc<ConnectionCounts>,
 }
 
 /// Starts all tasks of a manager: those of the owner and of the first core on the given executor, the other
@@ -40,7 +41,7 @@
 /// # Errors
 /// If its address can't be had.
 pub fn start(
-    exec: Exec,
+    exec: Executor,
     clock: Clock,
     manager: &Manager,
     keys: Keys,
@@ -50,7 +51,7 @@
     let address: SocketAddr =
         manager.listen.parse().map_err(|why| RunError::Address { address: manager.listen.clone(), why })?;
     let listener = listen(address).map_err(|why| RunError::Listen { address, why })?;
-    let limits = Limits { connections: manager.connections, head: HEAD };
+    let limits = Limits { connections: manager.connections, head_timeout: HEAD };
     let (news, to_owner) = async_channel::bounded(MOST_NEWS);
     let cores: Vec<Arc<Core>> = (0..manager.cores).map(|_| Arc::default()).collect();
     cores.iter().for_each(|it| it.moves(clock.now()));
@@ -65,7 +66,7 @@
         cores: cores.clone(),
         news,
     });
-    let server = Server::new();
+    let server = ConnectionCounts::new();
     let owner = Owner::new(clock, front, tape, cores, times, server.clone());
     exec.spawn(owner.clone().listen(to_owner)).detach();
     exec.spawn(owner.clone().ring()).detach();
@@ -88,7 +89,7 @@
             thread.map_err(|why| RunError::Thread { name: format!("core-{index}"), why })?;
         }
     }
-    let (spread, seen) = (Spread::new(manager.cores), shared.clone());
+    let (spread, seen) = (ConnectionBalancer::new(manager.cores), shared.clone());
     let hand_on = move |accepted: Accepted| {
         let open: Vec<usize> = seen.cores.iter().map(|it| it.open.load(Ordering::Relaxed)).collect();
         let now = seen.clock.now();
@@ -103,7 +104,7 @@
     let served = server.clone();
     if manager.cores == 1 {
         let listener = Listener::new(listener).map_err(|why| RunError::Watch { address, why })?;
-        exec.spawn(accept(Nursery::new(exec), listener, limits, served, hand_on)).detach();
+        exec.spawn(accept(TaskGroup::new(exec), listener, limits, served, hand_on)).detach();
     } else {
         // No core's standstill holds up who comes new.
         let accepting = move || {
@@ -112,7 +113,7 @@
                 error!("connections can't be accepted: the listener can't be watched");
                 return;
             };
-            block_on(exec.run(accept(Nursery::new(exec), listener, limits, served, hand_on)));
+            block_on(exec.run(accept(TaskGroup::new(exec), listener, limits, served, hand_on)));
         };
         let thread = std::thread::Builder::new().name("accept".into()).spawn(accepting);
         thread.map_err(|why| RunError::Thread { name: "accept".into(), why })?;
@@ -122,7 +123,7 @@
 
 /// The tasks of one core.
 fn work(
-    exec: Exec,
+    exec: Executor,
     index: usize,
     shared: Arc<Shared>,
     incoming: Receiver<Accepted>,
@@ -136,13 +137,13 @@
         exec.spawn(rescue::watch(shared.clone(), index)).detach();
     }
     let service = Rc::new(Service { worker: worker.clone() });
-    let nursery = Nursery::new(exec);
+    let nursery = TaskGroup::new(exec);
     exec.spawn(async move {
         while let Ok(accepted) = incoming.recv().await {
             let service = service.clone();
             let core = shared.cores[index].clone();
             let handler = move |request, line| service.clone().answer(request, line);
-            serve_one(&nursery, accepted, limits, handler, move || {
+            serve_connection(&nursery, accepted, limits, handler, move || {
                 core.open.fetch_sub(1, Ordering::Relaxed);
             });
         }
--- a/daemon/src/service.rs
+++ b/daemon/src/service.rs
@@ -8,7 +8,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use ottersail_front::tape::Told;
 use ottersail_front::{Asked, Reply, WatchId};
-use ottersail_net::{whole, Body, Line};
+use ottersail_net::{full_body, Body, ConnectionHandle};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
@@ -25,13 +25,17 @@
 }
 
 fn said(status: StatusCode, text: impl Into<String>) -> Response<Body> {
-    let mut response = Response::new(whole(text.into() + "\n"));
+    let mut response = Response::new(full_body(text.into() + "\n"));
     *response.status_mut() = status;
     response
 }
 
 impl Service {
-    pub async fn answer(self: Rc<Service>, request: Request<Incoming>, line: Line) -> Response<Body> {
+    pub async fn answer(
+        self: Rc<Service>,
+        request: Request<Incoming>,
+        line: ConnectionHandle,
+    ) -> Response<Body> {
         if request.method() != Method::GET && request.method() != Method::HEAD {
             return said(StatusCode::METHOD_NOT_ALLOWED, "only GET is served here");
         }
@@ -73,7 +77,7 @@
         title: &str,
         query: &BTreeMap<String, String>,
         trace: String,
-        line: Line,
+        line: ConnectionHandle,
     ) -> Response<Body> {
         let text = |key: &str| query.get(key).filter(|it| it.len() <= MOST_NAME).cloned();
         let Some(package) = text("package") else {
@@ -100,7 +104,7 @@
         id: &str,
         query: &BTreeMap<String, String>,
         trace: String,
-        line: Line,
+        line: ConnectionHandle,
     ) -> Response<Body> {
         let ticket = query.get("t").map_or("", String::as_str);
         let shared = &self.worker.shared;
@@ -142,7 +146,7 @@
         return std::future::pending().await;
     };
     let (status, kind, stay_away, text) = parts(reply);
-    let mut response = Response::new(whole(text));
+    let mut response = Response::new(full_body(text));
     *response.status_mut() = status;
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static(kind));
--- a/daemon/src/worker.rs
+++ b/daemon/src/worker.rs
@@ -8,10 +8,10 @@
 use crate::post::{Core, Errand, News};
 use async_executor::Task;
 use hyper::{Method, Request, StatusCode};
-use ottersail_cores::vigil;
+use ottersail_cores::stall;
 use ottersail_front::tape::Told;
 use ottersail_front::PROBE_PATIENCE;
-use ottersail_net::{Body, Client, Exec, Timer};
+use ottersail_net::{Body, Client, Executor, Timer};
 use ottersail_wire::report::{self, Report};
 pub use shared::{Reach, Shared};
 use std::cell::{Cell, RefCell};
@@ -29,7 +29,7 @@
 
 pub struct Worker {
     pub shared: Arc<Shared>,
-    exec: Exec,
+    exec: Executor,
     index: usize,
     core: Arc<Core>,
     client: Client,
@@ -48,7 +48,7 @@
 }
 
 impl Worker {
-    pub fn new(exec: Exec, index: usize, shared: Arc<Shared>) -> Rc<Worker> {
+    pub fn new(exec: Executor, index: usize, shared: Arc<Shared>) -> Rc<Worker> {
         let connect = Duration::from_secs_f64(shared.reach.connect.0 / 1e3);
         Rc::new(Worker {
             exec,
@@ -79,7 +79,7 @@
     pub async fn pulse(self: Rc<Worker>) {
         loop {
             self.core.moves(self.now());
-            Timer::after(Duration::from_secs_f64(vigil::PULSE / 1e3)).await;
+            Timer::after(Duration::from_secs_f64(stall::HEARTBEAT_INTERVAL_MS / 1e3)).await;
         }
     }
 
--- a/daemon/src/worker/ask.rs
+++ b/daemon/src/worker/ask.rs
@@ -2,10 +2,10 @@
 
 use super::Worker;
 use crate::post::{News, Slot};
-use ottersail_cores::{vigil, Claim, Stage};
+use ottersail_cores::{stall, Claim, Stage};
 use ottersail_front::tape::Told;
 use ottersail_front::{AskId, Reply};
-use ottersail_net::{Line, Timer};
+use ottersail_net::{ConnectionHandle, Timer};
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -16,7 +16,7 @@
     /// `None` if another core has answered in this one's place.
     pub async fn ask(
         self: &Rc<Worker>,
-        line: Line,
+        line: ConnectionHandle,
         trace: String,
         patience: f64,
         told: impl FnOnce(AskId) -> Told,
@@ -25,7 +25,7 @@
         let ask = AskId(self.asks.get() * self.shared.cores.len() as u64 + self.index as u64);
         let (ready, is_ready) = async_channel::bounded(1);
         let began = self.now();
-        let due = vigil::last_call(began, patience);
+        let due = stall::fallback_deadline(began, patience);
         let (claim, reply) = (Claim::new(), Mutex::new(None));
         let slot = Arc::new(Slot { claim, reply, ready, line, began, due });
         self.core.waiting.lock().unwrap_or_else(PoisonError::into_inner).insert(ask, slot.clone());
@@ -54,7 +54,7 @@
                 self.spawn(async move { worker.tell(Told::Left { ask }).await });
             }
             match stage {
-                Stage::Put => Reply::Blocked { stay_away },
+                Stage::Pending => Reply::Blocked { stay_away },
                 Stage::Taken => Reply::Aborted { late: true },
             }
         }))
--- a/daemon/tests/errors.rs
+++ b/daemon/tests/errors.rs
@@ -4,7 +4,7 @@
 use ottersail_daemon::error::{JudgeError, LineError, NodeError, ReplayError, RunError};
 use ottersail_daemon::rehearse::{RehearseError, Unclean};
 use ottersail_daemon::settings::error::{Complaint, SettingsError, Wrong};
-use ottersail_membership::TermsError;
+use ottersail_membership::MembershipConfigError;
 use ottersail_rollout::{Fault, Held, Name, Serial};
 use std::io;
 use std::net::SocketAddr;
@@ -142,7 +142,7 @@
     table!(RunError:
         Keys { file: file(), why: text(CAUSE) } => [FILE, "[manager] keys"], true;
         MemberKeys { file: file(), why: text(CAUSE) } => [FILE, "[members] keys"], true;
-        Members { 0: TermsError::Name(text("a b")) } => ["[members]", "a b"], false;
+        Members { 0: MembershipConfigError::Name(text("a b")) } => ["[members]", "a b"], false;
         Datagrams { address: at(), why: why() } => ["127.0.0.9:8123", "[members] listen"], true;
         Record { file: file(), why: why() } => [FILE, "--record"], true;
         ParentUnheard { why: why() } => ["--with-parent"], true;
--- a/daemon/tests/members/flood.rs
+++ b/daemon/tests/members/flood.rs
@@ -3,8 +3,8 @@
 use crate::cluster::Cluster;
 use crate::peer::get;
 use ottersail_fault_injection::cost;
-use ottersail_membership::gate::Gate;
-use ottersail_membership::{Body, Incarnation, Life, MemberId, Message};
+use ottersail_membership::auth::DatagramAuth;
+use ottersail_membership::{Body, Incarnation, InstanceId, MemberId, Message};
 use ottersail_signed_urls::Keys;
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
@@ -19,8 +19,9 @@
 /// Datagrams as a member would send them, but for the keys.
 fn forged() -> Vec<Vec<u8>> {
     let keys = Keys::read("x BBBBBBBBBBBBBBBBBBBBBBBBBBBBBBBB\n").unwrap();
-    let mut gate = Gate::new(MemberId::of("east", "m-1"), Life(5), "east", keys, 9);
-    let message = Message { incarnation: Incarnation(9), body: Body::Gossip, news: vec![], riders: vec![] };
+    let mut gate = DatagramAuth::new(MemberId::of("east", "m-1"), InstanceId(5), "east", keys, 9);
+    let message =
+        Message { incarnation: Incarnation(9), body: Body::Gossip, updates: vec![], piggybacks: vec![] };
     (0..AT_ONCE).map(|_| gate.seal(None, &message).unwrap()).collect()
 }
 
--- a/fake-servers/src/boxes.rs
+++ b/fake-servers/src/boxes.rs
@@ -13,17 +13,17 @@
 use hyper::{Method, Request, Response};
 use load::load;
 use notes::{listen, tell};
-use ottersail_net::{Body, Listener, Nursery, Server};
+use ottersail_net::{Body, ConnectionCounts, Listener, TaskGroup};
 use plays::{end, fetch, step};
 use set_up::set_up;
 
-pub(crate) fn serve(nursery: &Nursery, listener: Listener, world: &Shared, id: &str) {
+pub(crate) fn serve(nursery: &TaskGroup, listener: Listener, world: &Shared, id: &str) {
     let (shared, name) = (world.clone(), id.to_string());
     let handler = move |request: Request<Incoming>, _| {
         let (world, id) = (shared.clone(), name.clone());
         async move { answer(&world, &id, &request).await }
     };
-    nursery.spawn(ottersail_net::serve(nursery.clone(), listener, LIMITS, Server::new(), handler));
+    nursery.spawn(ottersail_net::serve(nursery.clone(), listener, LIMITS, ConnectionCounts::new(), handler));
     let (world, id) = (world.clone(), id.to_string());
     nursery.spawn(async move { tell(&world, &id).await });
 }
--- a/fake-servers/src/boxes/notes.rs
+++ b/fake-servers/src/boxes/notes.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use hyper::Response;
 use ottersail_invariants::Event;
-use ottersail_net::{flowing, Body, Timer};
+use ottersail_net::{streaming_body, Body, Timer};
 use ottersail_wire::notes::{EndCause, Note};
 use ottersail_wire::report::Report;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 const SAMPLE: Duration = Duration::from_millis(250);
 
 pub(super) fn listen(world: &Shared, id: &str, manager: usize) -> Response<Body> {
-    let (sender, body) = flowing(256);
+    let (sender, body) = streaming_body(256);
     _ = sender.try_send(Bytes::from(Note::Alive.write()));
     if let Some(proc) = world.borrow_mut().procs.get_mut(id) {
         proc.listeners.insert(manager, sender);
--- a/fake-servers/src/boxes/plays.rs
+++ b/fake-servers/src/boxes/plays.rs
@@ -6,7 +6,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use ottersail_invariants::Event;
-use ottersail_net::{whole, Body, Timer};
+use ottersail_net::{full_body, Body, Timer};
 use std::time::Duration;
 
 pub(super) fn step(world: &Shared, id: &str, vw: &str, rung: &str) -> Response<Body> {
@@ -19,7 +19,7 @@
     it.fleet.set_rung(id, vw, rung, kb);
     it.recorder.note(Event::Rung { server: id.to_string(), vw: vw.to_string(), rung });
     drop(it);
-    Response::new(whole(playlist(world, held.title, held.package)))
+    Response::new(full_body(playlist(world, held.title, held.package)))
 }
 
 /// Ends a viewing; with a tune-in's number only if it was set up by that one.
@@ -64,5 +64,5 @@
         segment * (1.0 / share.max(0.05) - 1.0) * if what.starts_with('s') { 1.0 } else { 0.0 }
     };
     Timer::after(Duration::from_secs_f64(wait.clamp(0.0, 20_000.0) / 1e3)).await;
-    Response::new(whole(vec![0; 188]))
+    Response::new(full_body(vec![0; 188]))
 }
--- a/fake-servers/src/boxes/set_up.rs
+++ b/fake-servers/src/boxes/set_up.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
 use ottersail_invariants::Event;
-use ottersail_net::{flowing, whole, Body, Timer};
+use ottersail_net::{full_body, streaming_body, Body, Timer};
 use ottersail_wire::report::HEADER;
 use std::time::Duration;
 
@@ -127,7 +127,7 @@
     }
     let text = playlist(world, number, package_ix);
     if ill.stall {
-        let (sender, body) = flowing(2);
+        let (sender, body) = streaming_body(2);
         let exec = world.borrow().exec;
         let half = Bytes::from(text[..text.len() / 2].to_string());
         exec.spawn(async move {
@@ -150,7 +150,7 @@
             1 => text.replace("2.000", "NaN"),
             _ => "#EXTM3U\n".repeat(1 << 19),
         };
-        let mut response = Response::new(whole(garbled));
+        let mut response = Response::new(full_body(garbled));
         *response.status_mut() = StatusCode::CREATED;
         let load =
             hyper::header::HeaderValue::from_static("TEXT named_metrics.link=NaN, named_metrics.uplink=-3");
@@ -158,7 +158,7 @@
         return response;
     }
     under_way.answered(201);
-    let mut response = Response::new(whole(text));
+    let mut response = Response::new(full_body(text));
     *response.status_mut() = StatusCode::CREATED;
     reported(world, id, manager, response)
 }
--- a/fake-servers/src/callers/load.rs
+++ b/fake-servers/src/callers/load.rs
@@ -7,7 +7,7 @@
 use async_executor::Task;
 use fastrand::Rng;
 use ottersail_invariants::platform::ClientEvent;
-use ottersail_net::{Exec, Stream, Timer};
+use ottersail_net::{Executor, Stream, Timer};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 
 /// The clients of one manager.
 struct Load {
-    exec: Exec,
+    exec: Executor,
     settings: CallerSettings,
     log: CallerLog,
     manager: usize,
@@ -36,7 +36,7 @@
     sent: Cell<u64>,
 }
 
-pub async fn follow(exec: Exec, settings: CallerSettings, log: CallerLog, orders: Receiver<CallerOrder>) {
+pub async fn follow(exec: Executor, settings: CallerSettings, log: CallerLog, orders: Receiver<CallerOrder>) {
     let mut loads: BTreeMap<usize, (Rc<Load>, Task<()>)> = BTreeMap::new();
     while let Ok(order) = orders.recv().await {
         match order {
@@ -61,7 +61,7 @@
 
 impl Load {
     fn new(
-        exec: Exec,
+        exec: Executor,
         settings: &CallerSettings,
         log: &CallerLog,
         manager: usize,
--- a/fake-servers/src/http.rs
+++ b/fake-servers/src/http.rs
@@ -3,13 +3,13 @@
 use crate::error::FleetError;
 use hyper::body::Incoming;
 use hyper::{Request, Response, StatusCode};
-use ottersail_net::{whole, Body, Limits, Listener};
+use ottersail_net::{full_body, Body, Limits, Listener};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
 /// Any free port of loopback.
 pub(crate) const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-pub(crate) const LIMITS: Limits = Limits { connections: 20_000, head: Duration::from_secs(20) };
+pub(crate) const LIMITS: Limits = Limits { connections: 20_000, head_timeout: Duration::from_secs(20) };
 
 /// A socket of loopback that accepts calls, and its address; port 0 is any that is free.
 pub(crate) fn listen_at(address: SocketAddr) -> Result<(Listener, SocketAddr), FleetError> {
@@ -25,7 +25,7 @@
 }
 
 pub(crate) fn plain(status: u16, text: &'static str) -> Response<Body> {
-    let mut response = Response::new(whole(text));
+    let mut response = Response::new(full_body(text));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     response
 }
--- a/fake-servers/src/list.rs
+++ b/fake-servers/src/list.rs
@@ -8,7 +8,7 @@
 use hyper::{Request, Response};
 use ottersail_invariants::record::Standing as Told;
 use ottersail_invariants::Event;
-use ottersail_net::{whole, Body, Listener, Nursery, Server, Timer};
+use ottersail_net::{full_body, Body, ConnectionCounts, Listener, TaskGroup, Timer};
 use ottersail_wire::catalogue::{write_servers, write_titles, Listed, Standing, Title, INDEX_HEADER};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -16,13 +16,13 @@
 /// A title begins so many cells after the one before it.
 pub const TITLE_STRIDE: u64 = 7;
 
-pub(crate) fn serve(nursery: &Nursery, listener: Listener, world: &Shared) {
+pub(crate) fn serve(nursery: &TaskGroup, listener: Listener, world: &Shared) {
     let shared = world.clone();
     let handler = move |request: Request<Incoming>, _| {
         let world = shared.clone();
         async move { answer(&world, &request).await }
     };
-    nursery.spawn(ottersail_net::serve(nursery.clone(), listener, LIMITS, Server::new(), handler));
+    nursery.spawn(ottersail_net::serve(nursery.clone(), listener, LIMITS, ConnectionCounts::new(), handler));
 }
 
 async fn answer(world: &Shared, request: &Request<Incoming>) -> Response<Body> {
@@ -98,7 +98,7 @@
 }
 
 fn indexed(index: usize, text: String) -> Response<Body> {
-    let mut response = Response::new(whole(text));
+    let mut response = Response::new(full_body(text));
     response.headers_mut().insert(INDEX_HEADER, index.into());
     response
 }
--- a/fake-servers/src/lives.rs
+++ b/fake-servers/src/lives.rs
@@ -6,7 +6,7 @@
 use crate::http::{listen_at, ANY};
 use crate::world::{die, Ill, Proc, Shared};
 use ottersail_invariants::Event;
-use ottersail_net::{Listener, Nursery, Timer};
+use ottersail_net::{Listener, TaskGroup, Timer};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -48,7 +48,7 @@
 
 fn start(world: &Shared, id: &str, address: SocketAddr, listener: Listener, cold: bool) {
     let mut it = world.borrow_mut();
-    let nursery = Nursery::new(it.exec);
+    let nursery = TaskGroup::new(it.exec);
     let now = it.now();
     if let Some(server) = it.fleet.servers.get_mut(id) {
         server.cold_since = cold.then_some(now);
@@ -85,8 +85,8 @@
         };
         (proc.address, proc.nursery.clone())
     };
-    nursery.end();
-    nursery.go_on();
+    nursery.cancel_all();
+    nursery.resume();
     // The old listener is closed once its task has been dropped.
     for _ in 0..100 {
         Timer::after(Duration::from_millis(20)).await;
@@ -105,14 +105,14 @@
     let Some((address, old)) = world.borrow().procs.get(id).map(|it| (it.address, it.nursery.clone())) else {
         return;
     };
-    old.end();
+    old.cancel_all();
     let (world, id) = (world.clone(), id.to_string());
     let exec = world.borrow().exec;
     exec.spawn(async move {
         for _ in 0..100 {
             Timer::after(Duration::from_millis(20)).await;
             if let Ok((listener, _)) = listen_at(address) {
-                let nursery = Nursery::new(exec);
+                let nursery = TaskGroup::new(exec);
                 if let Some(proc) = world.borrow_mut().procs.get_mut(&id) {
                     proc.nursery = nursery.clone();
                     proc.listeners.clear();
--- a/fake-servers/src/media/server.rs
+++ b/fake-servers/src/media/server.rs
@@ -6,7 +6,7 @@
 use super::{sessions, MediaSettings};
 use async_executor::Task;
 use ottersail_invariants::platform::{End, ServerEvent};
-use ottersail_net::{Exec, Listener};
+use ottersail_net::{Executor, Listener};
 use serde_json::Value;
 use socket2::SockRef;
 use std::cell::RefCell;
@@ -33,7 +33,7 @@
 }
 
 pub struct Server {
-    exec: Exec,
+    exec: Executor,
     number: usize,
     pub(super) address: SocketAddr,
     settings: MediaSettings,
@@ -48,7 +48,7 @@
 
 impl Server {
     pub fn start(
-        exec: Exec,
+        exec: Executor,
         number: usize,
         address: SocketAddr,
         settings: &MediaSettings,
--- a/fake-servers/src/players.rs
+++ b/fake-servers/src/players.rs
@@ -12,7 +12,7 @@
 use crate::day::FaultKind;
 use ask::{ask, Asked};
 use mischief::mischief;
-use ottersail_net::{block_on, executor, Client, Exec, Timer};
+use ottersail_net::{block_on, executor, Client, Executor, Timer};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -47,7 +47,7 @@
     }));
 }
 
-async fn arrivals(exec: Exec, world: &Rc<World>, began: Instant, end: Instant) {
+async fn arrivals(exec: Executor, world: &Rc<World>, began: Instant, end: Instant) {
     let mut at = began;
     loop {
         let second = (at - began).as_secs_f64();
--- a/fake-servers/src/players/mischief.rs
+++ b/fake-servers/src/players/mischief.rs
@@ -5,13 +5,13 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use hyper::Method;
 use ottersail_invariants::Event;
-use ottersail_net::{Client, Exec, Stream, Timer};
+use ottersail_net::{Client, Executor, Stream, Timer};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 /// Those who mean no viewing: slow readers, talkers of nonsense, forgers.
-pub(super) fn mischief(exec: Exec, world: &Rc<World>, began: Instant) {
+pub(super) fn mischief(exec: Executor, world: &Rc<World>, began: Instant) {
     for fault in world.crowd.day.faults.clone() {
         let start = began + Duration::from_secs_f64(fault.start);
         let end = began + Duration::from_secs_f64(fault.end);
--- a/fake-servers/src/run.rs
+++ b/fake-servers/src/run.rs
@@ -9,7 +9,7 @@
 use crate::script::script;
 use crate::wires::{Behind, Far};
 use crate::world::{Shared, World};
-use ottersail_net::{block_on, executor, Nursery};
+use ottersail_net::{block_on, executor, TaskGroup};
 use ottersail_signed_urls::Keys;
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -52,7 +52,7 @@
     let thread = std::thread::Builder::new().name(name.into()).spawn(move || {
         let exec = executor();
         let world = World::new(exec, day, recorder, keys);
-        let nursery = Nursery::new(exec);
+        let nursery = TaskGroup::new(exec);
         let served = begin(&world, &nursery);
         let failed = served.is_err();
         _ = ready.send(served);
@@ -65,10 +65,10 @@
                 script(&world, &nursery);
             }
             _ = stopped.recv().await;
-            let nurseries: Vec<Nursery> =
+            let nurseries: Vec<TaskGroup> =
                 world.borrow().procs.values().map(|it| it.nursery.clone()).collect();
-            nurseries.iter().for_each(Nursery::end);
-            nursery.end();
+            nurseries.iter().for_each(TaskGroup::cancel_all);
+            nursery.cancel_all();
         }));
     });
     let thread = thread.map_err(|source| FleetError::Thread { name, source })?;
@@ -86,7 +86,7 @@
 }
 
 /// The servers of the beginning, a cell each, and their list.
-fn begin(world: &Shared, nursery: &Nursery) -> Result<Begun, FleetError> {
+fn begin(world: &Shared, nursery: &TaskGroup) -> Result<Begun, FleetError> {
     let servers = world.borrow().day.servers;
     for cell in 0..servers {
         add(world, cell as u64, false)?;
--- a/fake-servers/src/script.rs
+++ b/fake-servers/src/script.rs
@@ -5,10 +5,10 @@
 use crate::lives::{come_back, reset, retire};
 use crate::world::{die, Shared};
 use ottersail_invariants::Event;
-use ottersail_net::Nursery;
+use ottersail_net::TaskGroup;
 
 /// One task for each fault of the day.
-pub(crate) fn script(world: &Shared, nursery: &Nursery) {
+pub(crate) fn script(world: &Shared, nursery: &TaskGroup) {
     let day = world.borrow().day.clone();
     for (ix, fault) in day.faults.iter().enumerate() {
         let (world, fault) = (world.clone(), fault.clone());
@@ -81,7 +81,7 @@
                 let mut it = world.borrow_mut();
                 if let Some(proc) = it.procs.get_mut(id) {
                     proc.alive = false;
-                    proc.nursery.hold_still();
+                    proc.nursery.pause();
                 }
                 it.recorder.note(Event::ServerEnded { server: id.clone() });
                 it.publish(id, silent);
--- a/fake-servers/src/wires.rs
+++ b/fake-servers/src/wires.rs
@@ -3,7 +3,7 @@
 
 use crate::day::{Day, Fault, Ways};
 use ottersail_fault_injection::{Condition, Relay, Way};
-use ottersail_net::Exec;
+use ottersail_net::Executor;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -25,7 +25,7 @@
 }
 
 pub(crate) struct Wires {
-    exec: Exec,
+    exec: Executor,
     seed: u64,
     /// By the place of its fault in the day.
     hits: BTreeMap<usize, Hit>,
@@ -60,7 +60,7 @@
 }
 
 impl Wires {
-    pub fn new(exec: Exec, day: &Day) -> Wires {
+    pub fn new(exec: Executor, day: &Day) -> Wires {
         let mut rng = fastrand::Rng::with_seed(day.seed ^ 0x5717e5);
         let hit = |(ix, fault): (usize, &Fault)| {
             let managers = drawn(&mut rng, day.managers as u64, fault.managers);
--- a/fake-servers/src/world.rs
+++ b/fake-servers/src/world.rs
@@ -6,7 +6,7 @@
 use crate::record::Recorder;
 use crate::wires::Wires;
 use ottersail_invariants::Event;
-use ottersail_net::{Exec, Nursery};
+use ottersail_net::{Executor, TaskGroup};
 use ottersail_signed_urls::Keys;
 use ottersail_wire::catalogue::{Listed, Standing};
 use std::cell::RefCell;
@@ -29,7 +29,7 @@
 /// A server's process.
 pub(crate) struct Proc {
     pub address: SocketAddr,
-    pub nursery: Nursery,
+    pub nursery: TaskGroup,
     pub alive: bool,
     pub draining: bool,
     pub ill: Ill,
@@ -37,7 +37,7 @@
 }
 
 pub(crate) struct World {
-    pub exec: Exec,
+    pub exec: Executor,
     pub day: Rc<Day>,
     pub recorder: Recorder,
     pub keys: Keys,
@@ -53,7 +53,7 @@
 
 impl World {
     /// A world before its first server.
-    pub fn new(exec: Exec, day: Day, recorder: Recorder, keys: Keys) -> Shared {
+    pub fn new(exec: Executor, day: Day, recorder: Recorder, keys: Keys) -> Shared {
         let mut rng = fastrand::Rng::with_seed(day.seed);
         let uneven = |rng: &mut fastrand::Rng| 1.0 + day.uneven * (rng.f64() * 2.0 - 1.0);
         let fleet = Fleet {
@@ -127,7 +127,7 @@
     };
     proc.alive = false;
     proc.listeners.clear();
-    proc.nursery.end();
+    proc.nursery.cancel_all();
     if let Some(server) = it.fleet.servers.get_mut(id) {
         server.held.clear();
         server.asked_kb = 0.0;
--- a/fault-injection/src/exchange.rs
+++ b/fault-injection/src/exchange.rs
@@ -3,7 +3,7 @@
 
 use crate::trouble::Trouble;
 use crate::wire::{Condition, Wire};
-use ottersail_net::{Datagrams, Exec, Nursery, Timer};
+use ottersail_net::{Datagrams, Executor, TaskGroup, Timer};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -17,7 +17,7 @@
 pub struct Exchange {
     inner: Rc<Inner>,
     /// Dropping it closes everything.
-    _tasks: Nursery,
+    _tasks: TaskGroup,
 }
 
 struct Inner {
@@ -29,7 +29,7 @@
     wires: RefCell<BTreeMap<(usize, usize), Wire>>,
     held: Cell<usize>,
     strange: Cell<u64>,
-    delayed: Nursery,
+    delayed: TaskGroup,
 }
 
 impl Exchange {
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     /// If no addresses can be had on loopback.
-    pub fn start(exec: Exec, members: Vec<SocketAddr>, seed: u64) -> Result<Exchange, Trouble> {
+    pub fn start(exec: Executor, members: Vec<SocketAddr>, seed: u64) -> Result<Exchange, Trouble> {
         let no_address = Trouble::no_address("an exchange");
         let socket = |_: &SocketAddr| Datagrams::bind((Ipv4Addr::LOCALHOST, 0).into());
         let sockets = members.iter().map(socket).collect::<Result<Vec<_>, _>>().map_err(no_address)?;
@@ -50,9 +50,9 @@
             wires: RefCell::default(),
             held: Cell::new(0),
             strange: Cell::new(0),
-            delayed: Nursery::new(exec),
+            delayed: TaskGroup::new(exec),
         });
-        let tasks = Nursery::new(exec);
+        let tasks = TaskGroup::new(exec);
         for to in 0..inner.members.len() {
             let inner = inner.clone();
             tasks.spawn(async move { carry(&inner, to).await });
--- a/fault-injection/src/relay.rs
+++ b/fault-injection/src/relay.rs
@@ -10,7 +10,7 @@
 use carry::{carry, reset};
 use futures_lite::future::{or, poll_once};
 use line::Line;
-use ottersail_net::{Exec, Listener, Nursery, Timer};
+use ottersail_net::{Executor, Listener, TaskGroup, Timer};
 use rustix::net::listen;
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -30,13 +30,13 @@
     address: SocketAddr,
     line: Rc<Line>,
     /// Dropping it closes everything.
-    _tasks: Nursery,
+    _tasks: TaskGroup,
 }
 
 impl Relay {
     /// # Errors
     /// If no address can be had on loopback.
-    pub fn start(exec: Exec, to: SocketAddr, seed: u64) -> Result<Relay, Trouble> {
+    pub fn start(exec: Executor, to: SocketAddr, seed: u64) -> Result<Relay, Trouble> {
         let no_address = Trouble::no_address("a relay");
         let listener = Listener::bind((Ipv4Addr::LOCALHOST, 0).into()).map_err(no_address)?;
         let address = listener.get_ref().local_addr().map_err(no_address)?;
@@ -47,8 +47,8 @@
             version: Cell::new(0),
             waiting: RefCell::default(),
         });
-        let tasks = Nursery::new(exec);
-        let carried = Nursery::new(exec);
+        let tasks = TaskGroup::new(exec);
+        let carried = TaskGroup::new(exec);
         let served = line.clone();
         tasks.spawn(async move { serve(&carried, &listener, &served).await });
         Ok(Relay { address, line, _tasks: tasks })
@@ -71,7 +71,7 @@
     }
 }
 
-async fn serve(carried: &Nursery, listener: &Listener, line: &Rc<Line>) {
+async fn serve(carried: &TaskGroup, listener: &Listener, line: &Rc<Line>) {
     loop {
         if line.any(|it| it.cut) {
             let fillers = shut(listener);
--- a/fault-injection/src/relay/tests.rs
+++ b/fault-injection/src/relay/tests.rs
@@ -2,7 +2,7 @@
 use crate::wire::{Condition, Way};
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use ottersail_net::{block_on, executor, Exec, Listener, Stream, Timer};
+use ottersail_net::{block_on, executor, Executor, Listener, Stream, Timer};
 use std::cell::RefCell;
 use std::future::Future;
 use std::io::ErrorKind;
@@ -23,7 +23,7 @@
 }
 
 /// A server that sends back what comes, and notes what came; a relay in front; a connection through it.
-async fn scene(exec: Exec) -> (Relay, Stream, Rc<RefCell<Vec<u8>>>) {
+async fn scene(exec: Executor) -> (Relay, Stream, Rc<RefCell<Vec<u8>>>) {
     let listener = Listener::bind((Ipv4Addr::LOCALHOST, 0).into()).unwrap();
     let to = listener.get_ref().local_addr().unwrap();
     let came = Rc::new(RefCell::new(Vec::new()));
--- a/leases/src/holder/lease.rs
+++ b/leases/src/holder/lease.rs
@@ -7,13 +7,13 @@
 const ROUNDS: usize = 6;
 
 impl Holder {
-    pub(super) fn renew_when_due(&mut self, now: Ms, out: &mut dyn Wishes) {
-        if At(now) < self.renew_at {
+    pub(super) fn renew_when_due(&mut self, now: Ms, out: &mut dyn Effects) {
+        if Timestamp(now) < self.renew_at {
             return;
         }
-        let lease = self.terms.held_for();
+        let lease = self.terms.holder_lease();
         self.rounds.retain(|it| now < it.sent.0 + lease);
-        self.renew_at = At(now + self.terms.renew_every());
+        self.renew_at = Timestamp(now + self.terms.renew_every());
         let all: Vec<(Slot, Epoch)> = self.slots.iter().map(|it| (*it.0, it.1.epoch)).collect();
         let pages = all.len().div_ceil(PAGE);
         while self.rounds.len() + pages > ROUNDS * pages.max(1) {
@@ -21,11 +21,11 @@
         }
         for page in all.chunks(PAGE) {
             self.number = self.number.wrapping_add(1);
-            let ask = Renew { life: self.me.1, number: self.number, slots: page.to_vec() };
+            let ask = Renew { instance: self.me.1, number: self.number, slots: page.to_vec() };
             let slots = page.iter().map(|it| (it.0, (it.1, 0))).collect();
-            self.rounds.push_back(Round { number: self.number, sent: At(now), slots });
+            self.rounds.push_back(Round { number: self.number, sent: Timestamp(now), slots });
             for to in self.terms.councillors.clone() {
-                out.note(Note::Asked { bytes: ask.bytes() });
+                out.note(LeaseEvent::RenewalSent { bytes: ask.bytes() });
                 out.renew(to, &ask);
             }
         }
@@ -33,17 +33,17 @@
 
     /// A councillor's answer. What a majority granted counts from when it was asked; what a majority refuses
     /// is lost at once, and its register is read again.
-    pub fn renewed(&mut self, now: Ms, from: MemberId, answer: &Renewed, out: &mut dyn Wishes) {
+    pub fn renewed(&mut self, now: Ms, from: MemberId, answer: &Renewed, out: &mut dyn Effects) {
         let Some(voter) = self.terms.councillors.iter().position(|it| *it == from).filter(|it| *it < 8)
         else {
             return;
         };
-        let (bit, enough, lasts) = (1u8 << voter, self.terms.majority(), self.terms.held_for());
+        let (bit, enough, lasts) = (1u8 << voter, self.terms.majority(), self.terms.holder_lease());
         let from_sending = self.terms.guards.send_time();
-        let known = |it: &&mut Round| it.number == answer.number && answer.life == self.me.1;
+        let known = |it: &&mut Round| it.number == answer.number && answer.instance == self.me.1;
         let Some(round) = self.rounds.iter_mut().find(known) else { return };
         let since = if from_sending { round.sent.0 } else { now };
-        let until = At(since + lasts);
+        let until = Timestamp(since + lasts);
         let mut lost = Vec::new();
         for (slot, (epoch, granted)) in &mut round.slots {
             let Some(mine) = self.slots.get_mut(slot).filter(|it| it.epoch == *epoch) else { continue };
@@ -67,10 +67,10 @@
     }
 
     /// Releases are told to councillors, who otherwise keep the slots for a lease more.
-    pub(super) fn tell_releases(&self, out: &mut dyn Wishes) {
+    pub(super) fn tell_releases(&self, out: &mut dyn Effects) {
         let all: Vec<(Slot, Epoch)> = self.let_go.iter().map(|it| (*it.0, *it.1)).collect();
         for page in all.chunks(PAGE) {
-            let message = Release { life: self.me.1, slots: page.to_vec() };
+            let message = Release { instance: self.me.1, slots: page.to_vec() };
             self.terms.councillors.iter().for_each(|to| out.release(*to, &message));
         }
     }
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -2,7 +2,7 @@
 //! a lease (Gray, Cheriton 1989: "Leases: an efficient fault-tolerant mechanism for distributed file cache
 //! consistency") that a majority of councillors renews. docs/parts.md weighs it and says what is promised.
 //!
-//! No I/O: the time is an argument, one method an input, and what is wanted goes out through [`Wishes`].
+//! No I/O: the time is an argument, one method an input, and what is wanted goes out through [`Effects`].
 
 mod bucket;
 mod guards;
@@ -18,14 +18,14 @@
 mod trouble;
 mod wishes;
 
-pub use bucket::{Bucket, Seat};
+pub use bucket::{Bucket, SlotEntry};
 pub use guards::Guards;
-pub use holder::{Answer, Holder, Part};
-pub use ids::{At, BucketNo, Epoch, Life, MemberId, Slot};
-pub use messages::{Release, Renew, Renewed, Rider};
-pub use needs::Needs;
-pub use notes::{Figures, Note};
-pub use renewals::{Renewals, Unallowed};
-pub use terms::Terms;
-pub use trouble::PartsError;
-pub use wishes::Wishes;
+pub use holder::{Answer, Holder, SlotShare};
+pub use ids::{BucketId, Epoch, InstanceId, MemberId, Slot, Timestamp};
+pub use messages::{Demand, Release, Renew, Renewed};
+pub use needs::SlotBalancer;
+pub use notes::{Counters, LeaseEvent};
+pub use renewals::{Disallowed, LeaseGrants};
+pub use terms::LeaseConfig;
+pub use trouble::LeaseError;
+pub use wishes::Effects;
--- a/leases/src/messages.rs
+++ b/leases/src/messages.rs
@@ -1,7 +1,7 @@
 //! What a holder and a councillor say to each other, and what every member tells all. Each fits 900 bytes.
 
-use crate::ids::{Epoch, Life, Slot};
-use crate::trouble::PartsError;
+use crate::ids::{Epoch, InstanceId, Slot};
+use crate::trouble::LeaseError;
 use serde::{Deserialize, Serialize};
 
 /// Slots in one message: 8 bytes each at most, 784 with the rest.
@@ -10,7 +10,7 @@
 /// A holder asks a councillor to go on holding these. The number is one page's; all councillors get the same.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Renew {
-    pub life: Life,
+    pub instance: InstanceId,
     pub number: u32,
     pub slots: Vec<(Slot, Epoch)>,
 }
@@ -25,7 +25,7 @@
 /// A councillor's answer: all that was asked is granted but these.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Renewed {
-    pub life: Life,
+    pub instance: InstanceId,
     pub number: u32,
     pub refused: Vec<Slot>,
 }
@@ -33,33 +33,33 @@
 /// A holder no longer uses these and never will under that epoch.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Release {
-    pub life: Life,
+    pub instance: InstanceId,
     pub slots: Vec<(Slot, Epoch)>,
 }
 
 /// What a member tells all others with its probes: what it has to send, and what it holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Rider {
+pub struct Demand {
     /// Own arrivals a second, in thousandths.
     pub need: u32,
     pub held: u16,
 }
 
-impl Rider {
+impl Demand {
     /// 8 bytes at most.
     ///
     /// # Errors
-    /// [`PartsError::Written`] if it cannot be written.
-    pub fn bytes(&self) -> Result<Vec<u8>, PartsError> {
-        postcard::to_allocvec(self).map_err(|_| PartsError::Written { bytes: 0 })
+    /// [`LeaseError::Written`] if it cannot be written.
+    pub fn encode(&self) -> Result<Vec<u8>, LeaseError> {
+        postcard::to_allocvec(self).map_err(|_| LeaseError::Written { bytes: 0 })
     }
 
     /// Bytes after it are a later version's and are let be.
     ///
     /// # Errors
-    /// [`PartsError::Rider`] if it is cut.
-    pub fn read(bytes: &[u8]) -> Result<Rider, PartsError> {
-        let read = postcard::take_from_bytes(bytes).map_err(|_| PartsError::Rider { bytes: bytes.len() })?;
+    /// [`LeaseError::Demand`] if it is cut.
+    pub fn decode(bytes: &[u8]) -> Result<Demand, LeaseError> {
+        let read = postcard::take_from_bytes(bytes).map_err(|_| LeaseError::Demand { bytes: bytes.len() })?;
         Ok(read.0)
     }
 }
--- a/leases/src/needs.rs
+++ b/leases/src/needs.rs
@@ -3,8 +3,8 @@
 //! datacenter applications", weighs balance against churn the same way).
 
 use crate::ids::MemberId;
-use crate::messages::Rider;
-use crate::terms::Terms;
+use crate::messages::Demand;
+use crate::terms::LeaseConfig;
 use ottersail::time::{DecayingSum, Ms};
 use std::collections::BTreeMap;
 
@@ -29,19 +29,19 @@
 
 /// What is known of all members' needs, the own included.
 #[derive(Clone, Debug)]
-pub struct Needs {
-    terms: Terms,
+pub struct SlotBalancer {
+    terms: LeaseConfig,
     me: MemberId,
     arrivals: DecayingSum,
-    others: BTreeMap<MemberId, Option<Rider>>,
+    others: BTreeMap<MemberId, Option<Demand>>,
     changed: Ms,
     aim: u16,
 }
 
-impl Needs {
-    pub fn born(now: Ms, me: MemberId, terms: Terms) -> Needs {
+impl SlotBalancer {
+    pub fn new(now: Ms, me: MemberId, terms: LeaseConfig) -> SlotBalancer {
         let changed = now - terms.lease() * CHANGE_EVERY;
-        Needs { terms, me, arrivals: DecayingSum::default(), others: BTreeMap::new(), changed, aim: 0 }
+        SlotBalancer { terms, me, arrivals: DecayingSum::default(), others: BTreeMap::new(), changed, aim: 0 }
     }
 
     fn fade(&self) -> Ms {
@@ -49,28 +49,28 @@
     }
 
     /// So many viewings came to this member just now.
-    pub fn arrived(&mut self, now: Ms, count: u32) {
+    pub fn record_arrivals(&mut self, now: Ms, count: u32) {
         self.arrivals.add(now, self.fade(), f64::from(count));
     }
 
     /// All living members but this one, with what each told last, if anything.
-    pub fn roster(&mut self, mut others: BTreeMap<MemberId, Option<Rider>>) {
+    pub fn set_others(&mut self, mut others: BTreeMap<MemberId, Option<Demand>>) {
         others.remove(&self.me);
         self.others = others;
     }
 
     /// What to tell the others from now on.
-    pub fn rider(&self, now: Ms, held: u16) -> Rider {
+    pub fn demand(&self, now: Ms, held: u16) -> Demand {
         let fade = self.fade();
         let a_second = self.arrivals.read(now, fade) / (fade / Ms(1e3));
-        Rider { need: (a_second * 1e3).min(f64::from(u32::MAX)) as u32, held }
+        Demand { need: (a_second * 1e3).min(f64::from(u32::MAX)) as u32, held }
     }
 
     /// What each member should hold: one slot each, the rest by weight. All together at most D.
     pub fn targets(&self, now: Ms, held: u16) -> BTreeMap<MemberId, u16> {
         let seconds = self.fade() / Ms(1e3);
-        let weight = |it: &Rider| f64::from(it.need) / 1e3 * seconds + COMMON;
-        let own = self.rider(now, held);
+        let weight = |it: &Demand| f64::from(it.need) / 1e3 * seconds + COMMON;
+        let own = self.demand(now, held);
         // Who has told nothing yet counts as the mean of those who have.
         let told: Vec<f64> = self.others.values().flatten().chain([&own]).map(weight).collect();
         let mean = told.iter().sum::<f64>() / told.len() as f64;
@@ -84,7 +84,7 @@
     }
 
     /// How many to hold from now on, for one that holds so many: mostly as many as before.
-    pub fn aim(&mut self, now: Ms, held: u16) -> u16 {
+    pub fn next_target(&mut self, now: Ms, held: u16) -> u16 {
         let targets = self.targets(now, held);
         let mine = targets.get(&self.me).copied().unwrap_or(1);
         let since = now - self.changed;
@@ -131,7 +131,7 @@
         held < 1.0 || target - held > band(target)
     }
 
-    fn short_by(&self, it: (&MemberId, &Option<Rider>), targets: &BTreeMap<MemberId, u16>) -> f64 {
+    fn short_by(&self, it: (&MemberId, &Option<Demand>), targets: &BTreeMap<MemberId, u16>) -> f64 {
         let (target, held) = (self.target(it.0, targets), it.1.map_or(0.0, |it| f64::from(it.held)));
         if Self::far_below(held, target) {
             target - held
@@ -140,7 +140,7 @@
         }
     }
 
-    fn over_by(&self, it: (&MemberId, &Option<Rider>), targets: &BTreeMap<MemberId, u16>) -> f64 {
+    fn over_by(&self, it: (&MemberId, &Option<Demand>), targets: &BTreeMap<MemberId, u16>) -> f64 {
         (it.1.map_or(0.0, |it| f64::from(it.held)) - self.target(it.0, targets)).max(0.0)
     }
 
--- a/leases/src/notes.rs
+++ b/leases/src/notes.rs
@@ -2,9 +2,9 @@
 
 /// One thing that happened, with how many slots or messages where that counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Note {
+pub enum LeaseEvent {
     /// A page of renewals went out to a councillor, so many bytes.
-    Asked { bytes: usize },
+    RenewalSent { bytes: usize },
     /// A slot was taken up from the register; it counts once a majority has renewed it.
     Acquired,
     /// A slot was given back by own will.
@@ -23,7 +23,7 @@
 
 /// Sums since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Counters {
     pub asked: u64,
     pub asked_bytes: u64,
     pub acquired: u64,
@@ -35,20 +35,20 @@
     pub unanswered: u64,
 }
 
-impl Figures {
-    pub fn count(&mut self, note: Note) {
+impl Counters {
+    pub fn count(&mut self, note: LeaseEvent) {
         let counter = match note {
-            Note::Asked { bytes } => {
+            LeaseEvent::RenewalSent { bytes } => {
                 self.asked_bytes += bytes as u64;
                 &mut self.asked
             }
-            Note::Acquired => &mut self.acquired,
-            Note::Released => &mut self.released,
-            Note::Lost => &mut self.lost,
-            Note::Proposed => &mut self.proposed,
-            Note::Conflict => &mut self.conflicts,
-            Note::Refused => &mut self.refused,
-            Note::Unanswered => &mut self.unanswered,
+            LeaseEvent::Acquired => &mut self.acquired,
+            LeaseEvent::Released => &mut self.released,
+            LeaseEvent::Lost => &mut self.lost,
+            LeaseEvent::Proposed => &mut self.proposed,
+            LeaseEvent::Conflict => &mut self.conflicts,
+            LeaseEvent::Refused => &mut self.refused,
+            LeaseEvent::Unanswered => &mut self.unanswered,
         };
         *counter += 1;
     }
--- a/leases/src/renewals.rs
+++ b/leases/src/renewals.rs
@@ -1,47 +1,47 @@
 //! A councillor's side: which leases it renewed, and what it therefore must not accept. Memory only: what a
 //! restart forgets is made up for by a whole lease in which nothing is given away.
 
-use crate::bucket::{Bucket, Seat};
-use crate::ids::{At, BucketNo, Epoch, Life, MemberId, Slot};
+use crate::bucket::{Bucket, SlotEntry};
+use crate::ids::{BucketId, Epoch, InstanceId, MemberId, Slot, Timestamp};
 use crate::messages::{Release, Renew, Renewed};
-use crate::terms::Terms;
+use crate::terms::LeaseConfig;
 use ottersail::time::Ms;
 use std::collections::BTreeMap;
 
 /// Why a value is not accepted now, and until when on this councillor's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unallowed {
+pub enum Disallowed {
     /// That slot was renewed for another and may be in use.
-    Leased { slot: Slot, until: At },
+    Leased { slot: Slot, until: Timestamp },
     /// This councillor started or recovered less than a lease ago and knows of no renewals from before.
-    Forgotten { slot: Slot, until: At },
+    Forgotten { slot: Slot, until: Timestamp },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Grant {
-    holder: (MemberId, Life),
+    holder: (MemberId, InstanceId),
     epoch: Epoch,
-    until: At,
+    until: Timestamp,
     released: bool,
 }
 
-/// At most one entry a slot.
+/// Timestamp most one entry a slot.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Renewals {
-    terms: Terms,
-    quiet_until: At,
+pub struct LeaseGrants {
+    terms: LeaseConfig,
+    quiet_until: Timestamp,
     grants: BTreeMap<Slot, Grant>,
 }
 
-impl Renewals {
-    pub fn born(now: Ms, terms: Terms) -> Renewals {
-        let quiet_until = At(now + terms.kept_for());
-        Renewals { terms, quiet_until, grants: BTreeMap::new() }
+impl LeaseGrants {
+    pub fn new(now: Ms, terms: LeaseConfig) -> LeaseGrants {
+        let quiet_until = Timestamp(now + terms.councillor_lease());
+        LeaseGrants { terms, quiet_until, grants: BTreeMap::new() }
     }
 
     /// After this councillor's memory was lost and taken back from the others.
-    pub fn recovered(&mut self, now: Ms) {
-        self.quiet_until = At(now + self.terms.kept_for());
+    pub fn restart_quiet_period(&mut self, now: Ms) {
+        self.quiet_until = Timestamp(now + self.terms.councillor_lease());
     }
 
     /// Answers a holder's request, given what this councillor has accepted for each slot. To be called only
@@ -51,24 +51,30 @@
         now: Ms,
         from: MemberId,
         ask: &Renew,
-        accepted: impl Fn(Slot) -> Seat,
+        accepted: impl Fn(Slot) -> SlotEntry,
     ) -> Renewed {
-        let holder = (from, ask.life);
+        let holder = (from, ask.instance);
         let mut refused = Vec::new();
         for &(slot, epoch) in &ask.slots {
             if slot.0 < self.terms.slots && self.may_renew(slot, holder, epoch, accepted(slot)) {
-                let until = At(now + self.terms.kept_for());
+                let until = Timestamp(now + self.terms.councillor_lease());
                 self.grants.insert(slot, Grant { holder, epoch, until, released: false });
             } else {
                 refused.push(slot);
             }
         }
-        Renewed { life: ask.life, number: ask.number, refused }
+        Renewed { instance: ask.instance, number: ask.number, refused }
     }
 
     /// A newer epoch than what was accepted here is granted: a majority of others chose it, and its holder
     /// knows. Refused is what this councillor knows to be over.
-    fn may_renew(&self, slot: Slot, holder: (MemberId, Life), epoch: Epoch, accepted: Seat) -> bool {
+    fn may_renew(
+        &self,
+        slot: Slot,
+        holder: (MemberId, InstanceId),
+        epoch: Epoch,
+        accepted: SlotEntry,
+    ) -> bool {
         if !self.terms.guards.stale() {
             return true;
         }
@@ -81,10 +87,10 @@
     /// The holder no longer uses these slots, and never will under these epochs.
     pub fn release(&mut self, now: Ms, from: MemberId, message: &Release) {
         for &(slot, epoch) in message.slots.iter().filter(|it| it.0 .0 < self.terms.slots) {
-            let holder = (from, message.life);
+            let holder = (from, message.instance);
             let others = |it: &Grant| it.epoch > epoch || (it.epoch == epoch && it.holder != holder);
             if !self.grants.get(&slot).is_some_and(others) {
-                self.grants.insert(slot, Grant { holder, epoch, until: At(now), released: true });
+                self.grants.insert(slot, Grant { holder, epoch, until: Timestamp(now), released: true });
             }
         }
     }
@@ -93,35 +99,35 @@
     ///
     /// # Errors
     /// The first slot that stands against it, and until when.
-    pub fn allows(&self, now: Ms, no: BucketNo, from: &Bucket, to: &Bucket) -> Result<(), Unallowed> {
-        to.seats().try_for_each(|(seat, it)| self.allows_seat(now, no.slot(seat), from.seat(seat), *it))
+    pub fn allows(&self, now: Ms, no: BucketId, from: &Bucket, to: &Bucket) -> Result<(), Disallowed> {
+        to.entries().try_for_each(|(seat, it)| self.allows_seat(now, no.slot(seat), from.entry(seat), *it))
     }
 
     /// The same on bodies as the council has them. One that cannot be read is not accepted: it would free or
     /// give away what nobody can tell.
-    pub fn allows_body(&self, now: Ms, no: BucketNo, from: &[u8], to: &[u8]) -> bool {
-        let seats = self.terms.seats(no);
-        let read = |body| Bucket::read(no, seats, body);
+    pub fn allows_encoded(&self, now: Ms, no: BucketId, from: &[u8], to: &[u8]) -> bool {
+        let seats = self.terms.slots_in(no);
+        let read = |body| Bucket::decode(no, seats, body);
         matches!((read(from), read(to)), (Ok(from), Ok(to)) if self.allows(now, no, &from, &to).is_ok())
     }
 
     /// Each change raises an epoch by one, so a step of one has nobody in between whom this councillor may
     /// have renewed unseen.
-    fn allows_seat(&self, now: Ms, slot: Slot, from: Seat, to: Seat) -> Result<(), Unallowed> {
+    fn allows_seat(&self, now: Ms, slot: Slot, from: SlotEntry, to: SlotEntry) -> Result<(), Disallowed> {
         let step = |epoch: Epoch| to.epoch.0 == epoch.0.wrapping_add(1);
         let grant = self.grants.get(&slot);
         let as_renewed = grant.is_some_and(|it| it.epoch == to.epoch && Some(it.holder) == to.held);
         if to == from || as_renewed || grant.is_some_and(|it| it.released && step(it.epoch)) {
             return Ok(());
         }
-        if let Some(Grant { until, .. }) = grant.filter(|it| !it.released && At(now) < it.until) {
+        if let Some(Grant { until, .. }) = grant.filter(|it| !it.released && Timestamp(now) < it.until) {
             if self.terms.guards.leases() {
-                return Err(Unallowed::Leased { slot, until: *until });
+                return Err(Disallowed::Leased { slot, until: *until });
             }
         }
         let untouched = from.held.is_none() && step(from.epoch);
-        if !untouched && At(now) < self.quiet_until && self.terms.guards.quarantine() {
-            return Err(Unallowed::Forgotten { slot, until: self.quiet_until });
+        if !untouched && Timestamp(now) < self.quiet_until && self.terms.guards.quarantine() {
+            return Err(Disallowed::Forgotten { slot, until: self.quiet_until });
         }
         Ok(())
     }
--- a/leases/src/terms.rs
+++ b/leases/src/terms.rs
@@ -1,12 +1,12 @@
 //! What a fleet agrees on before it starts. Integers, so that every state can be compared and hashed.
 
-use crate::bucket::SEATS;
+use crate::bucket::SLOTS_PER_BUCKET;
 use crate::guards::Guards;
-use crate::ids::{BucketNo, MemberId};
+use crate::ids::{BucketId, MemberId};
 use ottersail::time::Ms;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Terms {
+pub struct LeaseConfig {
     /// Slots that the whole is cut into (D); the register's `Head` fixes it at the founding.
     pub slots: u16,
     /// L, the length of a lease in milliseconds.
@@ -18,7 +18,7 @@
     pub guards: Guards,
 }
 
-impl Terms {
+impl LeaseConfig {
     pub fn lease(&self) -> Ms {
         Ms(f64::from(self.lease_ms))
     }
@@ -32,12 +32,12 @@
     }
 
     /// How long a holder counts on a renewal, from when it sent the request.
-    pub fn held_for(&self) -> Ms {
+    pub fn holder_lease(&self) -> Ms {
         self.lease() * (1.0 - 2.0 * self.drift())
     }
 
     /// How long a councillor lets nobody else have a slot, from when it granted the renewal.
-    pub fn kept_for(&self) -> Ms {
+    pub fn councillor_lease(&self) -> Ms {
         self.lease() * (1.0 + 2.0 * self.drift())
     }
 
@@ -53,12 +53,12 @@
         }
     }
 
-    pub fn buckets(&self) -> impl Iterator<Item = BucketNo> {
-        (0..usize::from(self.slots).div_ceil(SEATS).min(256)).map(|it| BucketNo(it as u8))
+    pub fn buckets(&self) -> impl Iterator<Item = BucketId> {
+        (0..usize::from(self.slots).div_ceil(SLOTS_PER_BUCKET).min(256)).map(|it| BucketId(it as u8))
     }
 
     /// Seats of that bucket; the last one may be short.
-    pub fn seats(&self, bucket: BucketNo) -> usize {
-        usize::from(self.slots).saturating_sub(usize::from(bucket.0) * SEATS).min(SEATS)
+    pub fn slots_in(&self, bucket: BucketId) -> usize {
+        usize::from(self.slots).saturating_sub(usize::from(bucket.0) * SLOTS_PER_BUCKET).min(SLOTS_PER_BUCKET)
     }
 }
--- a/leases/src/tests.rs
+++ b/leases/src/tests.rs
@@ -7,10 +7,10 @@
 mod tables;
 mod world;
 
-use crate::{Guards, MemberId, Terms};
+use crate::{Guards, LeaseConfig, MemberId};
 
 /// 10 s leases, clocks within 1 %.
-fn terms(slots: u16, councillors: u64) -> Terms {
+fn terms(slots: u16, councillors: u64) -> LeaseConfig {
     let councillors = (1..=councillors).map(MemberId).collect();
-    Terms { slots, lease_ms: 10_000, drift_ppm: 10_000, councillors, guards: Guards::default() }
+    LeaseConfig { slots, lease_ms: 10_000, drift_ppm: 10_000, councillors, guards: Guards::default() }
 }
--- a/leases/src/tests/council.rs
+++ b/leases/src/tests/council.rs
@@ -13,9 +13,9 @@
 
 #[derive(Clone, Debug)]
 pub enum Round {
-    Prepare(BucketNo, Ballot),
+    Prepare(BucketId, Ballot),
     Promise(Ballot, Option<(Ballot, Value)>),
-    Accept(BucketNo, Ballot, Value),
+    Accept(BucketId, Ballot, Value),
     Accepted(Ballot),
     No(Ballot, Ballot),
 }
@@ -29,7 +29,7 @@
 
 struct Run {
     asker: usize,
-    no: BucketNo,
+    no: BucketId,
     change: Change,
     since: Ms,
     promises: BTreeMap<usize, Option<(Ballot, Value)>>,
@@ -41,12 +41,12 @@
 pub struct Councillor {
     me: usize,
     of: usize,
-    terms: Terms,
-    pub renewals: Renewals,
-    registers: BTreeMap<BucketNo, Register>,
+    terms: LeaseConfig,
+    pub renewals: LeaseGrants,
+    registers: BTreeMap<BucketId, Register>,
     ballot: u64,
     runs: BTreeMap<Ballot, Run>,
-    waiting: BTreeMap<BucketNo, VecDeque<(usize, Change)>>,
+    waiting: BTreeMap<BucketId, VecDeque<(usize, Change)>>,
     /// Bodies accepted, each one write to a disk.
     pub writes: u64,
 }
@@ -54,32 +54,32 @@
 type Out = Vec<(usize, Body)>;
 
 impl Councillor {
-    pub fn born(now: Ms, me: usize, terms: Terms) -> Councillor {
+    pub fn new(now: Ms, me: usize, terms: LeaseConfig) -> Councillor {
         let of = terms.councillors.len();
-        let renewals = Renewals::born(now, terms.clone());
+        let renewals = LeaseGrants::new(now, terms.clone());
         let (registers, runs, waiting) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         Councillor { me, of, terms, renewals, registers, ballot: 0, runs, waiting, writes: 0 }
     }
 
-    /// Renewals and rounds are forgotten, what was promised is not.
-    pub fn restart(&mut self, now: Ms, terms: Terms) {
-        self.renewals = Renewals::born(now, terms);
+    /// LeaseGrants and rounds are forgotten, what was promised is not.
+    pub fn restart(&mut self, now: Ms, terms: LeaseConfig) {
+        self.renewals = LeaseGrants::new(now, terms);
         self.runs.clear();
         self.waiting.clear();
     }
 
     pub fn renew(&mut self, now: Ms, from: MemberId, ask: &Renew) -> Renewed {
-        let seat = |it: &Register, slot: Slot| it.bucket.as_ref().map(|it| it.seat(slot.seat()));
+        let seat = |it: &Register, slot: Slot| it.bucket.as_ref().map(|it| it.entry(slot.index_in_bucket()));
         let accepted = |slot: Slot| self.registers.get(&slot.bucket()).and_then(|it| seat(it, slot));
         self.renewals.renew(now, from, ask, |slot| accepted(slot).unwrap_or_default())
     }
 
-    pub fn ask(&mut self, now: Ms, asker: usize, no: BucketNo, change: Change, out: &mut Out) {
+    pub fn ask(&mut self, now: Ms, asker: usize, no: BucketId, change: Change, out: &mut Out) {
         self.waiting.entry(no).or_default().push_back((asker, change));
         self.next(now, no, out);
     }
 
-    fn next(&mut self, now: Ms, no: BucketNo, out: &mut Out) {
+    fn next(&mut self, now: Ms, no: BucketId, out: &mut Out) {
         self.runs.retain(|_, it| now - it.since < Ms(600.0));
         if self.runs.values().any(|it| it.no == no) {
             return;
@@ -107,11 +107,11 @@
             Round::Accept(no, ballot, value) => {
                 let register = self.registers.entry(no).or_default();
                 let before = register.accepted.as_ref().map_or(&[][..], |it| &it.1 .1);
-                let allowed = self.renewals.allows_body(now, no, before, &value.1);
+                let allowed = self.renewals.allows_encoded(now, no, before, &value.1);
                 if ballot < register.promised || !allowed {
                     return say(Round::No(ballot, register.promised));
                 }
-                register.bucket = Bucket::read(no, self.terms.seats(no), &value.1).ok();
+                register.bucket = Bucket::decode(no, self.terms.slots_in(no), &value.1).ok();
                 (register.promised, register.accepted) = (ballot, Some((ballot, value)));
                 self.writes += 1;
                 say(Round::Accepted(ballot));
--- a/leases/src/tests/fleets.rs
+++ b/leases/src/tests/fleets.rs
@@ -14,7 +14,7 @@
     world: World,
     /// Arrivals a second at each member.
     arrivals: Vec<f64>,
-    riders: Vec<(MemberId, Rider)>,
+    riders: Vec<(MemberId, Demand)>,
 }
 
 impl Fleet {
@@ -32,23 +32,23 @@
         let mut all_held = None;
         while self.world.now < until {
             let living: Vec<usize> = (0..self.world.nodes.len()).filter(|it| self.lives(*it)).collect();
-            let told: BTreeMap<MemberId, Option<Rider>> = living.iter().map(|it| (id(*it), None)).collect();
+            let told: BTreeMap<MemberId, Option<Demand>> = living.iter().map(|it| (id(*it), None)).collect();
             let known = self.riders.iter().map(|it| (it.0, Some(it.1))).filter(|it| told.contains_key(&it.0));
-            let told: BTreeMap<MemberId, Option<Rider>> = told.clone().into_iter().chain(known).collect();
-            let alive: BTreeMap<MemberId, Life> =
-                living.iter().map(|it| (id(*it), self.world.nodes[*it].life)).collect();
+            let told: BTreeMap<MemberId, Option<Demand>> = told.clone().into_iter().chain(known).collect();
+            let alive: BTreeMap<MemberId, InstanceId> =
+                living.iter().map(|it| (id(*it), self.world.nodes[*it].instance)).collect();
             self.riders.clear();
             for node in living.clone() {
                 let count = self.drawn(self.arrivals[node]);
-                let mut rider = Rider::default();
+                let mut rider = Demand::default();
                 self.world.input(node, |it, now, out| {
-                    it.needs.arrived(now, count);
-                    it.needs.roster(told.clone());
-                    it.holder.roster(alive.clone());
-                    let held = it.holder.kept();
-                    rider = it.needs.rider(now, held);
-                    let aim = it.needs.aim(now, held);
-                    it.holder.aim(now, aim, out);
+                    it.needs.record_arrivals(now, count);
+                    it.needs.set_others(told.clone());
+                    it.holder.set_alive(alive.clone());
+                    let held = it.holder.retained_slots();
+                    rider = it.needs.demand(now, held);
+                    let aim = it.needs.next_target(now, held);
+                    it.holder.set_target(now, aim, out);
                 });
                 self.riders.push((id(node), rider));
             }
@@ -161,7 +161,7 @@
     fleet.world.cut = pairs.collect();
     fleet.run(Ms(70_100.0));
     assert_eq!(fleet.slots(), vec![0; 7], "the lease is 10 s");
-    let before: Vec<u16> = fleet.world.nodes.iter().map(|it| it.holder.kept()).collect();
+    let before: Vec<u16> = fleet.world.nodes.iter().map(|it| it.holder.retained_slots()).collect();
     fleet.run(Ms(130e3));
     assert_eq!(fleet.slots(), vec![0; 7]);
     fleet.world.cut.clear();
--- a/leases/src/tests/histories.rs
+++ b/leases/src/tests/histories.rs
@@ -34,15 +34,15 @@
         },
         // What members believe of another need not be so.
         4 | 5 => {
-            let lives = |it: usize| (id(it), world.nodes[it].life);
-            let mut alive: BTreeMap<MemberId, Life> = (0..members).map(lives).collect();
+            let lives = |it: usize| (id(it), world.nodes[it].instance);
+            let mut alive: BTreeMap<MemberId, InstanceId> = (0..members).map(lives).collect();
             alive.remove(&id(other));
             let others = world.nodes.iter_mut().enumerate().filter(|it| it.0 != other);
-            others.for_each(|it| it.1.holder.roster(alive.clone()));
+            others.for_each(|it| it.1.holder.set_alive(alive.clone()));
         }
         _ => {
             let wanted = world.chance.below(usize::from(world.terms.slots) * 2 / members + 2) as u16;
-            world.input(one, |it, now, out| it.holder.aim(now, wanted, out));
+            world.input(one, |it, now, out| it.holder.set_target(now, wanted, out));
         }
     }
 }
@@ -52,11 +52,11 @@
     let slots = [4, 24, 50][seed as usize % 3];
     // Clocks within 1 % and within 10 %: margins of 200 ms and of 2 s.
     let drift_ppm = [10_000, 100_000][seed as usize / 3 % 2];
-    let mut world = World::new(seed, members, Terms { guards, drift_ppm, ..terms(slots, councillors) });
+    let mut world = World::new(seed, members, LeaseConfig { guards, drift_ppm, ..terms(slots, councillors) });
     (world.loss, world.slow) = ([0.0, 0.05, 0.3][world.chance.below(3)], [0.0, 0.1][world.chance.below(2)]);
     for node in 0..members {
         let wanted = (usize::from(slots) / members + 1) as u16;
-        world.input(node, |it, now, out| it.holder.aim(now, wanted, out));
+        world.input(node, |it, now, out| it.holder.set_target(now, wanted, out));
     }
     while world.now < Ms(120e3) && world.broken.is_none() {
         let next = world.now + Ms(world.chance.part() * 3e3);
--- a/leases/src/tests/world.rs
+++ b/leases/src/tests/world.rs
@@ -24,8 +24,8 @@
     Renew(Renew),
     Renewed(Renewed),
     Release(Release),
-    Ask(BucketNo, Change),
-    Answer(BucketNo, Answer),
+    Ask(BucketId, Change),
+    Answer(BucketId, Answer),
     Round(Round),
     Bell,
     Stopped,
@@ -34,35 +34,35 @@
 #[derive(Default)]
 struct Out {
     wishes: Vec<(Option<MemberId>, Body)>,
-    figures: Figures,
+    figures: Counters,
 }
 
-impl Wishes for Out {
+impl Effects for Out {
     fn renew(&mut self, to: MemberId, message: &Renew) {
         self.wishes.push((Some(to), Body::Renew(message.clone())));
     }
     fn release(&mut self, to: MemberId, message: &Release) {
         self.wishes.push((Some(to), Body::Release(message.clone())));
     }
-    fn read(&mut self, bucket: BucketNo) {
+    fn read(&mut self, bucket: BucketId) {
         self.wishes.push((None, Body::Ask(bucket, None)));
     }
-    fn propose(&mut self, bucket: BucketNo, if_revision: u64, body: Vec<u8>) {
+    fn propose(&mut self, bucket: BucketId, if_revision: u64, body: Vec<u8>) {
         self.wishes.push((None, Body::Ask(bucket, Some((if_revision, body)))));
     }
-    fn shrink(&mut self, _: Option<Part>) {
+    fn shrink(&mut self, _: Option<SlotShare>) {
         self.wishes.push((None, Body::Stopped));
     }
-    fn note(&mut self, note: Note) {
+    fn note(&mut self, note: LeaseEvent) {
         self.figures.count(note);
     }
 }
 
 pub struct Node {
     pub clock: Clock,
-    pub life: Life,
+    pub instance: InstanceId,
     pub holder: Holder,
-    pub needs: Needs,
+    pub needs: SlotBalancer,
     pub stands_until: Ms,
     pub up: bool,
     bell: Ms,
@@ -72,7 +72,7 @@
 
 pub struct World {
     pub now: Ms,
-    pub terms: Terms,
+    pub terms: LeaseConfig,
     pub nodes: Vec<Node>,
     pub councillors: Vec<Councillor>,
     pub chance: Chance,
@@ -92,33 +92,33 @@
 }
 
 impl World {
-    pub fn new(seed: u64, members: usize, terms: Terms) -> World {
+    pub fn new(seed: u64, members: usize, terms: LeaseConfig) -> World {
         let mut chance = Chance(seed | 1);
         let drift = f64::from(terms.drift_ppm) / 1e6;
         let mut node = |it: usize| {
             let clock = Clock::drawn(&mut chance, drift);
-            let (life, now) = (Life(1), clock.local(Ms(0.0)));
-            let holder = Holder::born(now, seed + it as u64 * 2, (id(it), life), terms.clone());
-            let needs = Needs::born(now, id(it), terms.clone());
+            let (instance, now) = (InstanceId(1), clock.local(Ms(0.0)));
+            let holder = Holder::new(now, seed + it as u64 * 2, (id(it), instance), terms.clone());
+            let needs = SlotBalancer::new(now, id(it), terms.clone());
             let (stands_until, bell, out) = (Ms(0.0), Ms(f64::INFINITY), Out::default());
-            Node { clock, life, holder, needs, stands_until, up: true, bell, asks: 0, out }
+            Node { clock, instance, holder, needs, stands_until, up: true, bell, asks: 0, out }
         };
         let nodes: Vec<Node> = (0..members).map(&mut node).collect();
         // The founding is long past: their first lease of silence is over.
-        let born = |it: usize| Councillor::born(nodes[it].clock.local(Ms(-60e3)), it, terms.clone());
-        let councillors = (0..terms.councillors.len()).map(born).collect();
+        let new = |it: usize| Councillor::new(nodes[it].clock.local(Ms(-60e3)), it, terms.clone());
+        let councillors = (0..terms.councillors.len()).map(new).collect();
         let (cut, queue) = (BTreeSet::new(), BTreeMap::new());
         let now = Ms(0.0);
         let (loss, slow, order, broken) = (0.0, 0.0, 0, None);
         World { now, terms, nodes, councillors, chance, cut, loss, slow, queue, order, broken }
     }
 
-    /// A new life of that member; a councillor among them forgets its renewals.
+    /// A new instance of that member; a councillor among them forgets its renewals.
     pub fn restart(&mut self, node: usize) {
         let it = &mut self.nodes[node];
         let now = it.clock.local(self.now);
-        it.life = Life(it.life.0 + 1);
-        it.holder = Holder::born(now, self.chance.0, (id(node), it.life), self.terms.clone());
+        it.instance = InstanceId(it.instance.0 + 1);
+        it.holder = Holder::new(now, self.chance.0, (id(node), it.instance), self.terms.clone());
         it.bell = Ms(f64::INFINITY);
         if let Some(it) = self.councillors.get_mut(node) {
             it.restart(now, self.terms.clone());
@@ -143,7 +143,7 @@
     }
 
     /// Gives a member an input, then sends what it wishes.
-    pub fn input(&mut self, node: usize, give: impl FnOnce(&mut Node, Ms, &mut dyn Wishes)) {
+    pub fn input(&mut self, node: usize, give: impl FnOnce(&mut Node, Ms, &mut dyn Effects)) {
         let it = &mut self.nodes[node];
         let mut out = std::mem::take(&mut it.out);
         give(it, it.clock.local(self.now), &mut out);
@@ -151,7 +151,7 @@
         it.out = out;
         it.asks = unanswered;
         // A hair later, so that rounding never rings a bell before its time.
-        let bell = it.clock.when(it.holder.bell_at()).max(self.now) + Ms(1e-3);
+        let bell = it.clock.when(it.holder.next_deadline()).max(self.now) + Ms(1e-3);
         if bell < it.bell {
             it.bell = bell;
             self.put(bell, node, node, Body::Bell);
@@ -188,15 +188,15 @@
         match body {
             Body::Bell => {
                 self.nodes[to].bell = Ms(f64::INFINITY);
-                self.input(to, |it, now, out| it.holder.bell(now, out));
+                self.input(to, |it, now, out| it.holder.handle_deadline(now, out));
             }
-            Body::Stopped => self.input(to, |it, now, out| it.holder.stopped(now, out)),
+            Body::Stopped => self.input(to, |it, now, out| it.holder.finish_shrink(now, out)),
             Body::Renewed(answer) => {
                 self.input(to, |it, now, out| it.holder.renewed(now, id(from), &answer, out));
                 self.check(to);
             }
             Body::Answer(no, answer) => {
-                self.input(to, |it, now, out| it.holder.answered(now, no, answer, out).unwrap());
+                self.input(to, |it, now, out| it.holder.council_answered(now, no, answer, out).unwrap());
             }
             Body::Renew(ask) => {
                 let answer = self.councillors[to].renew(local, id(from), &ask);
@@ -223,14 +223,14 @@
 
     pub fn slots(&self, node: usize) -> u16 {
         let it = &self.nodes[node];
-        it.holder.holds(it.clock.local(self.now)).filter(|_| it.up).map_or(0, |it| it.slots)
+        it.holder.current_share(it.clock.local(self.now)).filter(|_| it.up).map_or(0, |it| it.slots)
     }
 
     pub fn all_slots(&self) -> u16 {
         (0..self.nodes.len()).map(|it| self.slots(it)).sum()
     }
 
-    pub fn figures(&self) -> impl Iterator<Item = &Figures> {
+    pub fn figures(&self) -> impl Iterator<Item = &Counters> {
         self.nodes.iter().map(|it| &it.out.figures)
     }
 }
--- a/leases/src/trouble.rs
+++ b/leases/src/trouble.rs
@@ -2,7 +2,7 @@
 
 /// Each says what is wrong, where, and what an operator can try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum PartsError {
+pub enum LeaseError {
     #[error(
         "the register Slots({bucket}), {bytes} bytes, {what}: compare `slots` in this member's settings with the \
          register's Head, and this program's version with the other members'"
@@ -17,5 +17,5 @@
         "a member's rider on what it needs, {bytes} bytes, cannot be read: see in the roster which version that \
          member runs, and bring it to this one's"
     )]
-    Rider { bytes: usize },
+    Demand { bytes: usize },
 }
--- a/membership/examples/forged.rs
+++ b/membership/examples/forged.rs
@@ -1,9 +1,9 @@
-//! What the gate costs: datagrams opened, and forged ones dropped, as ratios to sealing in the same run.
+//! What the auth costs: datagrams opened, and forged ones dropped, as ratios to sealing in the same run.
 //! `cargo run --release -p ottersail-membership --example forged`
 
 use ottersail::time::Ms;
-use ottersail_membership::gate::{Gate, GateError, Opened, Why};
-use ottersail_membership::{Body, Incarnation, Life, MemberId, Message};
+use ottersail_membership::auth::{DatagramAuth, DatagramError, DropReason, Opened};
+use ottersail_membership::{Body, Incarnation, InstanceId, MemberId, Message};
 use ottersail_signed_urls::{Keys, Unusable};
 use std::time::Instant;
 use thiserror::Error;
@@ -20,19 +20,19 @@
     #[error("the example's keys can't be read: {0}")]
     Keys(#[from] Unusable),
     #[error("the example's message can't be sealed: {0}")]
-    Gate(#[from] GateError),
-    #[error("the gate in the example {0}; run the package's tests")]
+    DatagramAuth(#[from] DatagramError),
+    #[error("the auth in the example {0}; run the package's tests")]
     Gone(&'static str),
 }
 
-fn gate(me: MemberId, keys: &str) -> Result<Gate, Trouble> {
-    Ok(Gate::new(me, Life(me.0), "harbour", Keys::read(keys)?, me.0))
+fn auth(me: MemberId, keys: &str) -> Result<DatagramAuth, Trouble> {
+    Ok(DatagramAuth::new(me, InstanceId(me.0), "harbour", Keys::read(keys)?, me.0))
 }
 
 /// A probe, as most datagrams are.
 fn probe(number: u32) -> Message {
-    let body = Body::Probe { number, to: B, life: Life(B.0) };
-    Message { incarnation: Incarnation(1), body, news: vec![], riders: vec![] }
+    let body = Body::Probe { number, to: B, instance: InstanceId(B.0) };
+    Message { incarnation: Incarnation(1), body, updates: vec![], piggybacks: vec![] }
 }
 
 /// Nanoseconds each, at the best of some rounds: other processes only ever make it slower.
@@ -47,15 +47,15 @@
 }
 
 /// Opens one that has to be dropped for that reason.
-fn drop_one(gate: &mut Gate, bytes: &[u8], why: Why) -> Result<(), Trouble> {
-    match gate.open::<Message>(NOW, bytes) {
+fn drop_one(auth: &mut DatagramAuth, bytes: &[u8], why: DropReason) -> Result<(), Trouble> {
+    match auth.open::<Message>(NOW, bytes) {
         Opened::Dropped(it) if it == why => Ok(()),
         _ => Err(Trouble::Gone("did not drop what it should")),
     }
 }
 
 fn run(keys: &str, name: &str) -> Result<(), Trouble> {
-    let (mut a, mut b) = (gate(A, keys)?, gate(B, keys)?);
+    let (mut a, mut b) = (auth(A, keys)?, auth(B, keys)?);
     let first = a.seal(Some(B), &probe(0))?;
     let Opened::Challenge(asked) = b.open::<Message>(NOW, &first) else {
         return Err(Trouble::Gone("asked for no cookie"));
@@ -78,18 +78,18 @@
     let forged = best(|no| {
         let mut bytes = honest.clone();
         bytes[6..10].copy_from_slice(&(no + 1).to_be_bytes());
-        drop_one(&mut b, &bytes, Why::Forged)
+        drop_one(&mut b, &bytes, DropReason::BadMac)
     })?;
     let mut long = honest.clone();
     long.resize(1_200, 0);
-    let long = best(|_| drop_one(&mut b, &long, Why::Forged))?;
+    let long = best(|_| drop_one(&mut b, &long, DropReason::BadMac))?;
     let mut other = honest.clone();
     other[2] ^= 1;
-    let cluster = best(|_| drop_one(&mut b, &other, Why::Cluster))?;
+    let cluster = best(|_| drop_one(&mut b, &other, DropReason::OtherCluster))?;
     b.open::<Message>(NOW, &honest);
-    let replayed = best(|_| drop_one(&mut b, &honest, Why::Replayed))?;
-    // Of a life that is no more: signed well, and asked for a cookie each time.
-    let mut fresh = gate(B, keys)?;
+    let replayed = best(|_| drop_one(&mut b, &honest, DropReason::Replayed))?;
+    // Of a instance that is no more: signed well, and asked for a cookie each time.
+    let mut fresh = auth(B, keys)?;
     let asked = best(|_| match fresh.open::<Message>(NOW, &honest) {
         Opened::Challenge(_) => Ok(()),
         _ => Err(Trouble::Gone("asked for no cookie")),
@@ -106,7 +106,7 @@
         ("forged, 1200 bytes", long),
         ("another cluster", cluster),
         ("replayed", replayed),
-        ("unknown life, asked", asked),
+        ("unknown instance, asked", asked),
     ];
     for (what, ns) in rows {
         let (rate, ratio, core) = (1e9 / ns, sealing / ns, ns * FLOOD / 1e7);
--- a/membership/examples/hard.rs
+++ b/membership/examples/hard.rs
@@ -14,7 +14,7 @@
     net
 }
 
-fn burials(net: &Net, since: f64) -> usize {
+fn deaths(net: &Net, since: f64) -> usize {
     net.nodes.iter().map(|node| node.turns(since, State::Dead)).sum()
 }
 
@@ -38,7 +38,7 @@
         let held = |net: &Net| {
             let up = |of: usize| {
                 net.nodes[of].members.as_ref().map_or(0, |it| {
-                    let it = it.figures();
+                    let it = it.counters();
                     it.alive + it.suspect
                 })
             };
@@ -47,7 +47,7 @@
         while held(&net) > left * (left - 1) && net.now - from < 120_000.0 {
             net.run(100.0);
             for it in &net.nodes[..left] {
-                health = health.max(it.members.as_ref().map_or(0, |it| it.figures().health));
+                health = health.max(it.members.as_ref().map_or(0, |it| it.counters().health));
             }
         }
         let span = (net.now - from) / 1000.0;
@@ -71,12 +71,12 @@
         let from = net.now;
         (net.loss, net.dials) = (loss, dials);
         net.run(60_000.0);
-        all.push(burials(&net, from));
+        all.push(deaths(&net, from));
         net.loss = 0;
         healed.push(net.until_right(60_000.0).unwrap_or(f64::NAN) / 1000.0);
     }
     let way = if dials { "second way" } else { "no second way" };
-    println!("loss {loss} of {count}, {way}: burials a minute {all:?}, healed s {}", three(&mut healed));
+    println!("loss {loss} of {count}, {way}: deaths a minute {all:?}, healed s {}", three(&mut healed));
 }
 
 fn starved(count: usize) {
@@ -87,9 +87,9 @@
         net.nodes[7].starved = Some((3000.0, 1000.0));
         net.run(120_000.0);
         suspected += net.nodes.iter().map(|node| node.turns(from, State::Suspect)).sum::<usize>();
-        buried += burials(&net, from);
+        buried += deaths(&net, from);
     }
-    println!("starved one of {count}, 10 times 120 s: {suspected} suspicions, {buried} burials");
+    println!("starved one of {count}, 10 times 120 s: {suspected} suspicions, {buried} deaths");
 }
 
 fn pauses(span: f64, how_many: usize) {
@@ -100,14 +100,14 @@
         let from = net.now;
         (COUNT - how_many..COUNT).for_each(|at| net.nodes[at].paused_until = from + span);
         net.run(span);
-        during += burials(&net, from);
+        during += deaths(&net, from);
         let awake = net.now;
         healed.push(net.until_right(10_000.0).unwrap_or(f64::NAN) / 1000.0);
         net.run(20_000.0);
-        after += burials(&net, awake);
+        after += deaths(&net, awake);
     }
     println!(
-        "pause {span} ms of {how_many} of {COUNT}: {during} burials in it, \
+        "pause {span} ms of {how_many} of {COUNT}: {during} deaths in it, \
          {after} after, healed s {}",
         three(&mut healed)
     );
--- a/membership/src/gate/cookie.rs
+++ b/membership/src/auth/cookie.rs
@@ -1,8 +1,8 @@
-//! The stateless challenge to a life that is not known: a cookie, to be echoed (as in Eastlake, Andrews
+//! The stateless challenge to a instance that is not known: a cookie, to be echoed (as in Eastlake, Andrews
 //! 2016, RFC 7873, DNS cookies).
 
 use super::frame::{mac_of, Sha};
-use crate::{Life, MemberId};
+use crate::{InstanceId, MemberId};
 use hmac::Mac;
 use ottersail::time::Ms;
 
@@ -16,22 +16,22 @@
 pub struct Cookies(Sha);
 
 impl Cookies {
-    pub fn new(key: &[u8], seed: u64, life: Life) -> Cookies {
-        let secret = mac_of(key).chain_update(seed.to_be_bytes()).chain_update(life.0.to_be_bytes());
+    pub fn new(key: &[u8], seed: u64, instance: InstanceId) -> Cookies {
+        let secret = mac_of(key).chain_update(seed.to_be_bytes()).chain_update(instance.0.to_be_bytes());
         Cookies(mac_of(&secret.finalize().into_bytes()))
     }
 
-    pub fn make(&self, now: Ms, of: (MemberId, Life)) -> [u8; COOKIE] {
+    pub fn make(&self, now: Ms, of: (MemberId, InstanceId)) -> [u8; COOKIE] {
         self.at(tick(now), of)
     }
 
-    pub fn good(&self, now: Ms, of: (MemberId, Life), cookie: &[u8]) -> bool {
+    pub fn good(&self, now: Ms, of: (MemberId, InstanceId), cookie: &[u8]) -> bool {
         let now = tick(now);
         // Not in equal time: a guess has to come under a MAC of the cluster's keys.
         [now, now.wrapping_sub(1)].iter().any(|it| self.at(*it, of) == cookie)
     }
 
-    fn at(&self, tick: i64, of: (MemberId, Life)) -> [u8; COOKIE] {
+    fn at(&self, tick: i64, of: (MemberId, InstanceId)) -> [u8; COOKIE] {
         let mut mac = self.0.clone();
         for part in [of.0 .0.to_be_bytes(), of.1 .0.to_be_bytes(), tick.to_be_bytes()] {
             mac.update(&part);
--- a/membership/src/gate/lives.rs
+++ b/membership/src/auth/lives.rs
@@ -1,8 +1,8 @@
 //! The lives that are believed, each with its window of counters. Bounded; nothing gets in unproven.
 
-use super::trouble::Why;
+use super::trouble::DropReason;
 use super::window::Window;
-use crate::{Life, MemberId};
+use crate::{InstanceId, MemberId};
 use ottersail::time::Ms;
 use std::collections::BTreeMap;
 
@@ -13,7 +13,7 @@
 /// or those of a name that was given to two.
 pub const LIVES_OF_ONE: usize = 4;
 
-/// A life is not given up before every cookie that it had has run out.
+/// A instance is not given up before every cookie that it had has run out.
 pub const KEPT: Ms = Ms(2.0 * super::cookie::TICK.0);
 
 #[derive(Debug)]
@@ -21,31 +21,31 @@
     window: Window,
     proven: Ms,
     heard: Ms,
-    /// Another life of the same member has proven itself since: this one has to do it again. Guards against
+    /// Another instance of the same member has proven itself since: this one has to do it again. Guards against
     /// datagrams of a dead process that were held back on the way and never opened.
     doubted: bool,
 }
 
 #[derive(Debug, Default)]
-pub struct Lives(BTreeMap<(MemberId, Life), Held>);
+pub struct Lives(BTreeMap<(MemberId, InstanceId), Held>);
 
 impl Lives {
     pub fn count(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether the life is believed; takes the counter if the life is held at all.
-    pub fn take(&mut self, now: Ms, who: (MemberId, Life), counter: u64) -> Result<bool, Why> {
+    /// Whether the instance is believed; takes the counter if the instance is held at all.
+    pub fn take(&mut self, now: Ms, who: (MemberId, InstanceId), counter: u64) -> Result<bool, DropReason> {
         let Some(held) = self.0.get_mut(&who) else { return Ok(false) };
         if !held.window.take(counter) {
-            return Err(Why::Replayed);
+            return Err(DropReason::Replayed);
         }
         held.heard = now;
         Ok(!held.doubted)
     }
 
-    /// A life has proven that it lives: believes it from beyond `counter` on.
-    pub fn believe(&mut self, now: Ms, who: (MemberId, Life), counter: u64) -> Result<(), Why> {
+    /// A instance has proven that it lives: believes it from beyond `counter` on.
+    pub fn believe(&mut self, now: Ms, who: (MemberId, InstanceId), counter: u64) -> Result<(), DropReason> {
         if let Some(held) = self.0.get_mut(&who) {
             if held.doubted {
                 let window = Window::closed_at(counter.max(held.window.highest()));
@@ -62,15 +62,15 @@
         Ok(())
     }
 
-    fn all_of(member: MemberId) -> std::ops::RangeInclusive<(MemberId, Life)> {
-        (member, Life(0))..=(member, Life(u64::MAX))
+    fn all_of(member: MemberId) -> std::ops::RangeInclusive<(MemberId, InstanceId)> {
+        (member, InstanceId(0))..=(member, InstanceId(u64::MAX))
     }
 
-    /// Gives up a doubted life before others, then the one that was not heard for longest. One whose proof
+    /// Gives up a doubted instance before others, then the one that was not heard for longest. One whose proof
     /// is younger than `KEPT` stays: its echo would be believed a second time, with a new window.
-    fn make_room(&mut self, now: Ms, member: MemberId) -> Result<(), Why> {
-        let old = |it: &(&(MemberId, Life), &Held)| now - it.1.proven > KEPT;
-        let order = |it: &(&(MemberId, Life), &Held)| (!it.1.doubted, it.1.heard);
+    fn make_room(&mut self, now: Ms, member: MemberId) -> Result<(), DropReason> {
+        let old = |it: &(&(MemberId, InstanceId), &Held)| now - it.1.proven > KEPT;
+        let order = |it: &(&(MemberId, InstanceId), &Held)| (!it.1.doubted, it.1.heard);
         let own = self.0.range(Self::all_of(member));
         let out = if own.clone().count() >= LIVES_OF_ONE {
             own.filter(old).min_by_key(order)
@@ -79,7 +79,7 @@
         } else {
             return Ok(());
         };
-        let out = *out.ok_or(Why::Crowded)?.0;
+        let out = *out.ok_or(DropReason::TableFull)?.0;
         self.0.remove(&out);
         Ok(())
     }
--- a/membership/src/gate/tests/chance.rs
+++ b/membership/src/auth/tests/random_datagrams.rs
@@ -25,7 +25,7 @@
         bytes[at] ^= 1 << bit;
         prop_assert!(matches!(b.open::<String>(NOW, &bytes), Opened::Dropped(_)));
         bytes[at] ^= 1 << bit;
-        let message = Opened::Message { from: A, life: Life(1), message: text };
+        let message = Opened::Message { from: A, instance: InstanceId(1), message: text };
         prop_assert_eq!(b.open::<String>(NOW, &bytes), message);
     }
 
@@ -34,14 +34,14 @@
         let (mut a, mut b) = pair();
         let bytes = a.seal(Some(B), &text).unwrap();
         let cut = &bytes[..cut.index(bytes.len())];
-        prop_assert!(matches!(b.open::<String>(NOW, cut), Opened::Dropped(Why::Cut | Why::Forged)));
+        prop_assert!(matches!(b.open::<String>(NOW, cut), Opened::Dropped(DropReason::TooShort | DropReason::BadMac)));
         let tailed = [bytes.clone(), vec![0; tail]].concat();
-        prop_assert!(matches!(b.open::<String>(NOW, &tailed), Opened::Dropped(Why::Forged | Why::TooLong)));
+        prop_assert!(matches!(b.open::<String>(NOW, &tailed), Opened::Dropped(DropReason::BadMac | DropReason::TooLong)));
     }
 
     #[test]
     fn noise_is_dropped(bytes in prop::collection::vec(any::<u8>(), 0..1_300)) {
-        prop_assert!(matches!(open(&mut gate(B, 2), NOW, &bytes), Opened::Dropped(_)));
+        prop_assert!(matches!(open(&mut auth(B, 2), NOW, &bytes), Opened::Dropped(_)));
     }
 
     #[test]
@@ -52,7 +52,7 @@
         let mut highest = 0;
         for no in order {
             let fresh = times[no as usize] == 0 && no + WINDOW as u32 > highest;
-            let wanted = if fresh { said(A, 1, no) } else { dropped(Why::Replayed) };
+            let wanted = if fresh { said(A, 1, no) } else { dropped(DropReason::Replayed) };
             prop_assert_eq!(open(&mut b, NOW, &sent[no as usize]), wanted);
             times[no as usize] += u32::from(fresh);
             highest = highest.max(no);
@@ -89,9 +89,9 @@
     let proof = echo(&mut a, &mut b, NOW, 5);
     assert_eq!(open(&mut b, NOW, &proof), said(A, 1, 5));
     // One of the two has the new file already, and back.
-    a.rekey(&Keys::read(&after).unwrap());
+    a.set_keys(&Keys::read(&after).unwrap());
     let (there, back) = (a.seal(Some(B), &6u32).unwrap(), b.seal(Some(A), &7u32).unwrap());
-    let wanted = |it| if heard { it } else { dropped(Why::Forged) };
+    let wanted = |it| if heard { it } else { dropped(DropReason::BadMac) };
     assert_eq!(open(&mut b, NOW, &there), wanted(said(A, 1, 6)));
     assert_eq!(open(&mut a, NOW, &back), wanted(said(B, 2, 7)));
     let mut c = keyed(MemberId(3), 3, &after);
@@ -101,6 +101,6 @@
         let again = resend(&mut c, NOW, &asked);
         assert_eq!(open(&mut b, NOW, &again), said(MemberId(3), 3, 8));
     } else {
-        assert_eq!(open(&mut b, NOW, &first), dropped(Why::Forged));
+        assert_eq!(open(&mut b, NOW, &first), dropped(DropReason::BadMac));
     }
 }
--- a/membership/src/gate/tests/versions.rs
+++ b/membership/src/auth/tests/versions.rs
@@ -2,7 +2,7 @@
 //! others has made members that don't understand each other.
 
 use super::*;
-use crate::{Body, Incarnation, Message, Rider, Topic};
+use crate::{Body, Incarnation, Message, Piggyback, Topic};
 use serde::Deserialize;
 use test_case::test_case;
 
@@ -50,8 +50,8 @@
     "0200aa74f6fd00000000000000a1000000000000000100000000000000b20000000000000001ac02056f7474657201070109\
      0100000000000000000000004974bb9f1a61b7cc207a4191402373ef";
 
-fn speaking(me: MemberId, version: u8) -> Gate {
-    Gate { version, ..gate(me, 1) }
+fn speaking(me: MemberId, version: u8) -> DatagramAuth {
+    DatagramAuth { version, ..auth(me, 1) }
 }
 
 fn bytes_of(hex: &str) -> Vec<u8> {
@@ -59,16 +59,16 @@
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-/// A gate to which the sender of the fixtures is known.
-fn reader(version: u8) -> Gate {
+/// A auth to which the sender of the fixtures is known.
+fn reader(version: u8) -> DatagramAuth {
     let mut b = speaking(B, version);
-    b.lives.believe(NOW, (A, Life(1)), 0).unwrap();
+    b.lives.believe(NOW, (A, InstanceId(1)), 0).unwrap();
     b
 }
 
-fn opened<T: DeserializeOwned>(version: u8, hex: &str) -> Result<T, Why> {
+fn opened<T: DeserializeOwned>(version: u8, hex: &str) -> Result<T, DropReason> {
     match reader(version).open(NOW, &bytes_of(hex)) {
-        Opened::Message { from: A, life: Life(1), message } => Ok(message),
+        Opened::Message { from: A, instance: InstanceId(1), message } => Ok(message),
         Opened::Dropped(why) => Err(why),
         _ => panic!("asked for more"),
     }
@@ -76,7 +76,7 @@
 
 #[test]
 fn each_version_is_written_as_it_always_was() {
-    let wrote = |version, bytes: fn(&mut Gate) -> Vec<u8>| {
+    let wrote = |version, bytes: fn(&mut DatagramAuth) -> Vec<u8>| {
         let bytes = bytes(&mut speaking(A, version));
         bytes.iter().map(|it| format!("{it:02x}")).collect::<String>()
     };
@@ -97,7 +97,7 @@
 #[test_case(VERSION + 1, OF_BEFORE; "two back")]
 #[test_case(VERSION - 1, OF_NEXT; "two on")]
 fn two_versions_away_is_dropped(version: u8, hex: &str) {
-    assert_eq!(opened::<Before>(version, hex), Err(Why::Version));
+    assert_eq!(opened::<Before>(version, hex), Err(DropReason::UnsupportedVersion));
 }
 
 /// A body without the zeros that a short one is filled up with: a long one has none.
@@ -107,17 +107,17 @@
     let name = "o".repeat(200);
     let bytes = a.seal(Some(B), &Before { number: 1, name: name.clone() }).unwrap();
     let message = Next { number: 1, name, site: None, list: vec![], on: false };
-    let wanted = Opened::Message { from: A, life: Life(1), message };
+    let wanted = Opened::Message { from: A, instance: InstanceId(1), message };
     assert_eq!(reader(VERSION).open(NOW, &bytes), wanted);
 }
 
 /// The members' own message, by both ways of being sent.
 #[test]
 fn a_members_message_passes() {
-    let riders = vec![Rider { topic: Topic(3), bytes: vec![1, 2] }];
-    let body = Body::Probe { number: 9, to: B, life: Life(2) };
-    let message = Message { incarnation: Incarnation(4), body, news: vec![], riders };
+    let piggybacks = vec![Piggyback { topic: Topic(3), bytes: vec![1, 2] }];
+    let body = Body::Probe { number: 9, to: B, instance: InstanceId(2) };
+    let message = Message { incarnation: Incarnation(4), body, updates: vec![], piggybacks };
     let (mut a, mut b) = pair();
     let bytes = a.seal(Some(B), &message).unwrap();
-    assert_eq!(b.open(NOW, &bytes), Opened::Message { from: A, life: Life(1), message });
+    assert_eq!(b.open(NOW, &bytes), Opened::Message { from: A, instance: InstanceId(1), message });
 }
--- a/membership/src/gate/window.rs
+++ b/membership/src/auth/window.rs
@@ -1,4 +1,4 @@
-//! Which counters of one life have been opened already.
+//! Which counters of one instance have been opened already.
 
 const WORDS: usize = 4;
 
@@ -16,7 +16,7 @@
 }
 
 impl Window {
-    /// A window in which all up to `counter` counts as seen: what was sent before a life was believed is
+    /// A window in which all up to `counter` counts as seen: what was sent before a instance was believed is
     /// never opened later, or a recorded datagram could follow the proof of another.
     pub fn closed_at(counter: u64) -> Window {
         Window { highest: counter, seen: [u64::MAX; WORDS] }
--- a/membership/src/health.rs
+++ b/membership/src/health.rs
@@ -1,7 +1,7 @@
 //! Local health (Lifeguard): who fails to hear may be at fault himself.
 
 use crate::machine::Members;
-use crate::view::{Change, Wishes};
+use crate::view::{Change, Effects};
 use ottersail::time::Ms;
 
 const WORST: u32 = 8;
@@ -13,7 +13,7 @@
     }
 
     pub(crate) fn stretched(&self) -> Ms {
-        self.terms.period * self.patience()
+        self.terms.probe_period * self.patience()
     }
 
     pub(crate) fn worse(&mut self, by: u32) {
@@ -26,14 +26,14 @@
 
     /// Guards against burying others for one's own pause: what they said meanwhile still lies unread, so
     /// every waiting goes on from now as if the pause had not been, and suspicions run again.
-    pub(crate) fn notice_lateness(&mut self, now: Ms, out: &mut dyn Wishes) {
+    pub(crate) fn notice_lateness(&mut self, now: Ms, out: &mut dyn Effects) {
         let late = self.lateness(now);
-        if late < self.terms.period * 0.25 {
+        if late < self.terms.probe_period * 0.25 {
             return;
         }
         for probe in self.probes.values_mut() {
             // A moment more: the answer may lie unread beside this very bell.
-            probe.due = probe.due + late + self.terms.period * 0.25;
+            probe.due = probe.due + late + self.terms.probe_period * 0.25;
             probe.sent = probe.sent + late;
         }
         for help in self.helps.values_mut() {
@@ -45,8 +45,8 @@
             suspicion.ends = (suspicion.ends + late).max(now + again);
         }
         self.forgive_bell(now);
-        if late > self.terms.period {
-            self.figures.pauses += 1;
+        if late > self.terms.probe_period {
+            self.counters.pauses += 1;
             self.worse(1);
             self.note(Change::Paused { late }, out);
         }
--- a/membership/src/help.rs
+++ b/membership/src/help.rs
@@ -1,9 +1,9 @@
 //! The other side of a probe: answering, and probing on another's behalf.
 
-use crate::ids::{Address, Life, MemberId};
+use crate::ids::{Address, InstanceId, MemberId};
 use crate::machine::Members;
 use crate::message::{Body, Sender, State};
-use crate::view::{Hearing, Wishes};
+use crate::view::{Effects, Reachability};
 use ottersail::time::Ms;
 
 /// A helper says "not yet" after this part of a period.
@@ -26,17 +26,17 @@
         now: Ms,
         from: Sender,
         number: u32,
-        to: (MemberId, Life),
+        to: (MemberId, InstanceId),
         asker: Option<MemberId>,
-        out: &mut dyn Wishes,
+        out: &mut dyn Effects,
     ) {
-        if to.0 != self.terms.me.id {
-            self.figures.strays += 1;
+        if to.0 != self.terms.local.id {
+            self.counters.unexpected += 1;
             return;
         }
-        if to.1 != self.terms.me.life {
-            // It holds a former life of this member: it is told of this one.
-            let mine = self.news_of_me(State::Alive);
+        if to.1 != self.terms.local.instance {
+            // It holds a former instance of this member: it is told of this one.
+            let mine = self.update_about_self(State::Alive);
             self.spread(mine);
             return self.say_to(from.id, from.address, Body::Gossip, out);
         }
@@ -52,33 +52,35 @@
         now: Ms,
         from: Sender,
         theirs: u32,
-        (target, life, at): (MemberId, Life, Address),
-        out: &mut dyn Wishes,
+        (target, instance, at): (MemberId, InstanceId, Address),
+        out: &mut dyn Effects,
     ) {
-        if !self.peers.contains_key(&from.id) || self.helps.len() >= MOST_HELPS || target == self.terms.me.id
+        if !self.peers.contains_key(&from.id)
+            || self.helps.len() >= MOST_HELPS
+            || target == self.terms.local.id
         {
-            self.figures.strays += 1;
+            self.counters.unexpected += 1;
             return;
         }
         let number = self.number();
-        let due = now + self.terms.period * NACK_AFTER;
+        let due = now + self.terms.probe_period * NACK_AFTER;
         let asker = (from.id, from.address);
         self.helps.insert(number, Help { asker, number: theirs, target, due, nacked: false });
-        self.figures.helped += 1;
-        self.say_to(target, at, Body::ProbeOn { number, to: target, life, asker: from.id }, out);
+        self.counters.helped += 1;
+        self.say_to(target, at, Body::ProbeOn { number, to: target, instance, asker: from.id }, out);
     }
 
-    pub(crate) fn helped(&mut self, now: Ms, from: Sender, number: u32, hears: bool, out: &mut dyn Wishes) {
+    pub(crate) fn helped(&mut self, now: Ms, from: Sender, number: u32, hears: bool, out: &mut dyn Effects) {
         let Some(help) = self.helps.remove(&number).filter(|help| help.target == from.id) else { return };
         if let Some(peer) = self.peers.get_mut(&from.id) {
             peer.acked = now;
         }
-        self.set_hearing(from.id, Hearing::Both, out);
+        self.set_reachability(from.id, Reachability::Mutual, out);
         let body = Body::AckFor { number: help.number, hears_you: hears };
         self.say_to(help.asker.0, help.asker.1, body, out);
     }
 
-    pub(crate) fn mind_helps(&mut self, now: Ms, out: &mut dyn Wishes) {
+    pub(crate) fn mind_helps(&mut self, now: Ms, out: &mut dyn Effects) {
         let due: Vec<u32> = self.helps.iter().filter(|(_, it)| it.due <= now).map(|(it, _)| *it).collect();
         for number in due {
             let Some(help) = self.helps.get_mut(&number) else { continue };
@@ -88,7 +90,7 @@
             }
             // After the nack the answer may still come, for as long again as a slow asker waits.
             help.nacked = true;
-            help.due = now + self.terms.period * 2.0;
+            help.due = now + self.terms.probe_period * 2.0;
             let (asker, number) = (help.asker, help.number);
             self.say_to(asker.0, asker.1, Body::NackFor { number }, out);
         }
--- a/membership/src/ids.rs
+++ b/membership/src/ids.rs
@@ -15,7 +15,7 @@
 /// One run of a member's process: drawn when it starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "[u8; 8]", into = "[u8; 8]")]
-pub struct Life(pub u64);
+pub struct InstanceId(pub u64);
 
 /// Raised by the member alone, to contradict what others say of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -27,7 +27,7 @@
 
 /// Which try of the second way an answer belongs to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct DialTag(pub u64);
+pub struct DialId(pub u64);
 
 impl MemberId {
     /// The id that this name has in that cluster.
@@ -49,15 +49,15 @@
     }
 }
 
-impl From<[u8; 8]> for Life {
-    fn from(bytes: [u8; 8]) -> Life {
-        Life(u64::from_le_bytes(bytes))
+impl From<[u8; 8]> for InstanceId {
+    fn from(bytes: [u8; 8]) -> InstanceId {
+        InstanceId(u64::from_le_bytes(bytes))
     }
 }
 
-impl From<Life> for [u8; 8] {
-    fn from(life: Life) -> [u8; 8] {
-        life.0.to_le_bytes()
+impl From<InstanceId> for [u8; 8] {
+    fn from(instance: InstanceId) -> [u8; 8] {
+        instance.0.to_le_bytes()
     }
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-impl fmt::Display for Life {
+impl fmt::Display for InstanceId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
--- a/membership/src/machine.rs
+++ b/membership/src/machine.rs
@@ -1,15 +1,15 @@
 //! The machine itself: one method an input. What each input does is in the files by subject.
 
-use crate::chance::Chance;
 use crate::entry::Phase;
 use crate::help::Help;
-use crate::ids::{Address, DialTag, Incarnation, MemberId, Topic};
+use crate::ids::{Address, DialId, Incarnation, MemberId, Topic};
 use crate::message::{Body, Message, Sender, State};
 use crate::peer::Peer;
 use crate::probe::Probe;
+use crate::rng::SeededRng;
 use crate::spread::Rumour;
-use crate::terms::Terms;
-use crate::view::{Change, Figures, Known, Wishes};
+use crate::terms::MembershipConfig;
+use crate::view::{Change, Counters, Effects, MemberView};
 use ottersail::time::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,8 +21,8 @@
 
 /// One member's view of all members.
 pub struct Members {
-    pub(crate) terms: Terms,
-    pub(crate) chance: Chance,
+    pub(crate) terms: MembershipConfig,
+    pub(crate) chance: SeededRng,
     pub(crate) incarnation: Incarnation,
     pub(crate) phase: Phase,
     pub(crate) peers: BTreeMap<MemberId, Peer>,
@@ -45,17 +45,17 @@
     pub(crate) next_exchange: Ms,
     pub(crate) exchange_gap: Ms,
     pub(crate) next_recall: Ms,
-    pub(crate) figures: Figures,
+    pub(crate) counters: Counters,
     bell: Ms,
 }
 
 impl Members {
     /// A member that starts now; equal seeds and inputs give equal outputs.
-    pub fn born(now: Ms, seed: u64, terms: Terms) -> Members {
-        let mut chance = Chance::new(seed ^ terms.me.id.0);
-        let part = |chance: &mut Chance, span: Ms| now + span * (chance.below(1000) as f64 / 1000.0);
-        let exchange = part(&mut chance, terms.exchange_every);
-        let recall = part(&mut chance, terms.period * 2.0);
+    pub fn new(now: Ms, seed: u64, terms: MembershipConfig) -> Members {
+        let mut chance = SeededRng::new(seed ^ terms.local.id.0);
+        let part = |chance: &mut SeededRng, span: Ms| now + span * (chance.below(1000) as f64 / 1000.0);
+        let exchange = part(&mut chance, terms.exchange_interval);
+        let recall = part(&mut chance, terms.probe_period * 2.0);
         Members {
             chance,
             incarnation: Incarnation(0),
@@ -71,24 +71,24 @@
             carried: BTreeMap::new(),
             health: 0,
             any_heard: Ms::LONG_AGO,
-            round_trip: terms.period * 0.05,
+            round_trip: terms.probe_period * 0.05,
             next_period: now,
             next_gossip: now,
             next_exchange: exchange,
-            exchange_gap: terms.exchange_every,
+            exchange_gap: terms.exchange_interval,
             next_recall: recall,
-            figures: Figures::default(),
+            counters: Counters::default(),
             bell: now,
             terms,
         }
     }
 
-    /// When [`Members::bell`] wants to be called next.
-    pub fn bell_at(&self) -> Ms {
+    /// When [`Members::handle_deadline`] wants to be called next.
+    pub fn next_deadline(&self) -> Ms {
         self.bell
     }
 
-    pub fn bell(&mut self, now: Ms, out: &mut dyn Wishes) {
+    pub fn handle_deadline(&mut self, now: Ms, out: &mut dyn Effects) {
         self.notice_lateness(now, out);
         if self.phase == Phase::Gone {
             self.bell = Ms(f64::INFINITY);
@@ -107,25 +107,25 @@
         self.set_bell(now);
     }
 
-    /// A message that the gate has opened.
-    pub fn message(&mut self, now: Ms, from: Sender, message: Message, out: &mut dyn Wishes) {
+    /// A message that the auth has opened.
+    pub fn handle_message(&mut self, now: Ms, from: Sender, message: Message, out: &mut dyn Effects) {
         self.notice_lateness(now, out);
-        self.figures.received += 1;
+        self.counters.received += 1;
         self.any_heard = now;
         if self.phase == Phase::Gone {
             return;
         }
-        if from.id == self.terms.me.id {
+        if from.id == self.terms.local.id {
             self.namesake(now, from, &message, out);
         } else if self.passive() {
             if !matches!(message.body, Body::Welcome { .. } | Body::Held { .. }) {
-                self.figures.strays += 1;
+                self.counters.unexpected += 1;
             } else {
                 self.body(now, from, &message, out);
             }
         } else {
             self.heard(now, from, &message, out);
-            for news in &message.news {
+            for news in &message.updates {
                 self.apply(now, news, matches!(message.body, Body::Page { .. }), out);
             }
             self.body(now, from, &message, out);
@@ -133,15 +133,17 @@
         self.set_bell(now);
     }
 
-    fn body(&mut self, now: Ms, from: Sender, message: &Message, out: &mut dyn Wishes) {
+    fn body(&mut self, now: Ms, from: Sender, message: &Message, out: &mut dyn Effects) {
         match &message.body {
-            Body::Probe { number, to, life } => self.probed(now, from, *number, (*to, *life), None, out),
-            Body::ProbeOn { number, to, life, asker } => {
-                self.probed(now, from, *number, (*to, *life), Some(*asker), out)
+            Body::Probe { number, to, instance } => {
+                self.probed(now, from, *number, (*to, *instance), None, out)
+            }
+            Body::ProbeOn { number, to, instance, asker } => {
+                self.probed(now, from, *number, (*to, *instance), Some(*asker), out)
             }
             Body::Ack { number } => self.acked(now, from, *number, out),
-            Body::ProbeFor { number, target, life, at } => {
-                self.asked_to_help(now, from, *number, (*target, *life, *at), out)
+            Body::ProbeFor { number, target, instance, at } => {
+                self.asked_to_help(now, from, *number, (*target, *instance, *at), out)
             }
             Body::AckOn { number, hears_asker } => self.helped(now, from, *number, *hears_asker, out),
             Body::AckFor { number, hears_you } => self.vouched(now, *number, *hears_you, out),
@@ -149,16 +151,16 @@
             Body::Gossip => {}
             Body::Join { place } => self.join_asked(now, from, message.incarnation, place, out),
             Body::Welcome { known } => self.welcomed(now, from, *known, out),
-            Body::Held { by, life } => self.held(now, *by, *life, out),
+            Body::Held { by, instance } => self.held(now, *by, *instance, out),
             Body::Digest { sums } => self.digest(from, sums, out),
-            Body::Page { mask, more, back } => self.page(from, (*mask, *more, *back), &message.news, out),
+            Body::Page { mask, more, back } => self.page(from, (*mask, *more, *back), &message.updates, out),
             Body::Next { mask, after } => self.send_page(from.address, *mask, Some(*after), false, out),
-            Body::Tell { topic, bytes } => out.hear(from.id, *topic, bytes),
+            Body::Tell { topic, bytes } => out.deliver(from.id, *topic, bytes),
         }
     }
 
     /// The second way's answer.
-    pub fn dialled(&mut self, now: Ms, tag: DialTag, up: bool, out: &mut dyn Wishes) {
+    pub fn handle_dial_result(&mut self, now: Ms, tag: DialId, up: bool, out: &mut dyn Effects) {
         self.notice_lateness(now, out);
         self.dial_answered(now, tag, up, out);
         self.set_bell(now);
@@ -166,7 +168,14 @@
 
     /// One message of an upper layer, at once; false if `to` is not known, `bytes` is longer than 900 bytes,
     /// or this member is out.
-    pub fn tell(&mut self, _now: Ms, to: MemberId, topic: Topic, bytes: &[u8], out: &mut dyn Wishes) -> bool {
+    pub fn send_message(
+        &mut self,
+        _now: Ms,
+        to: MemberId,
+        topic: Topic,
+        bytes: &[u8],
+        out: &mut dyn Effects,
+    ) -> bool {
         let Some(peer) = self.peers.get(&to) else { return false };
         if bytes.len() > LONGEST_TELL || self.passive() || self.phase == Phase::Gone {
             return false;
@@ -178,7 +187,7 @@
 
     /// A rider of at most 64 bytes on own probes and acks from now on; empty takes it off. A fifth topic and
     /// a longer rider are passed over.
-    pub fn carry(&mut self, topic: Topic, bytes: &[u8]) {
+    pub fn set_piggyback(&mut self, topic: Topic, bytes: &[u8]) {
         if bytes.is_empty() {
             self.carried.remove(&topic);
         } else if bytes.len() <= LONGEST_RIDER
@@ -189,22 +198,22 @@
     }
 
     /// All others that are known, the dead included, this member not.
-    pub fn roster(&self) -> impl Iterator<Item = (&MemberId, &Known)> {
+    pub fn others(&self) -> impl Iterator<Item = (&MemberId, &MemberView)> {
         self.peers.iter().map(|(id, peer)| (id, &peer.known))
     }
 
-    pub fn figures(&self) -> Figures {
+    pub fn counters(&self) -> Counters {
         let count = |state| self.peers.values().filter(|peer| peer.known.state == state).count() as u64;
-        Figures {
+        Counters {
             health: self.health,
             alive: count(State::Alive),
             suspect: count(State::Suspect),
-            ..self.figures
+            ..self.counters
         }
     }
 
-    pub fn me(&self) -> Address {
-        self.terms.me.address
+    pub fn address(&self) -> Address {
+        self.terms.local.address
     }
 
     /// When the last bell was due: how late now is.
@@ -229,7 +238,7 @@
         self.bell = first.max(now + Ms(1.0));
     }
 
-    pub(crate) fn note(&mut self, change: Change, out: &mut dyn Wishes) {
+    pub(crate) fn note(&mut self, change: Change, out: &mut dyn Effects) {
         out.changed(&change);
     }
 }
--- a/membership/src/message.rs
+++ b/membership/src/message.rs
@@ -1,13 +1,13 @@
 //! What members say to one another. New variants and fields are only added at the end.
 
-use crate::ids::{Address, Incarnation, Life, MemberId, Topic};
+use crate::ids::{Address, Incarnation, InstanceId, MemberId, Topic};
 use serde::{Deserialize, Serialize};
 
-/// Where a message came from: the gate read id and life in the sealed header, the socket told the address.
+/// Where a message came from: the auth read id and instance in the sealed header, the socket told the address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sender {
     pub id: MemberId,
-    pub life: Life,
+    pub instance: InstanceId,
     pub address: Address,
 }
 
@@ -18,9 +18,9 @@
     pub incarnation: Incarnation,
     pub body: Body,
     /// What is said of members along with it.
-    pub news: Vec<News>,
+    pub updates: Vec<Update>,
     /// Small bytes of upper layers.
-    pub riders: Vec<Rider>,
+    pub piggybacks: Vec<Piggyback>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -29,7 +29,7 @@
     Probe {
         number: u32,
         to: MemberId,
-        life: Life,
+        instance: InstanceId,
     },
     Ack {
         number: u32,
@@ -38,14 +38,14 @@
     ProbeFor {
         number: u32,
         target: MemberId,
-        life: Life,
+        instance: InstanceId,
         at: Address,
     },
     /// A helper's probe; `asker` wants to know as well whether it is heard.
     ProbeOn {
         number: u32,
         to: MemberId,
-        life: Life,
+        instance: InstanceId,
         asker: MemberId,
     },
     AckOn {
@@ -61,20 +61,20 @@
     NackFor {
         number: u32,
     },
-    /// News alone.
+    /// Update alone.
     Gossip,
     /// I want to come in. Asked again each period until answered.
     Join {
-        place: Place,
+        place: MemberInfo,
     },
     /// You are in; `known` is the incarnation under which your id was known before, if it was.
     Welcome {
         known: Option<Incarnation>,
     },
-    /// Your name belongs to another life that answers, at that address.
+    /// Your name belongs to another instance that answers, at that address.
     Held {
         by: Address,
-        life: Life,
+        instance: InstanceId,
     },
     /// Sums over all that the sender holds alive, 3 bytes for each of 64 buckets of ids.
     Digest {
@@ -110,7 +110,7 @@
 
 /// Who says it is where.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct MemberInfo {
     pub name: String,
     pub address: Address,
     pub site: String,
@@ -118,19 +118,19 @@
 
 /// One thing said of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     pub about: MemberId,
-    pub life: Life,
+    pub instance: InstanceId,
     pub incarnation: Incarnation,
     pub state: State,
     /// Who suspects or buried it, first hand.
     pub by: Option<MemberId>,
-    pub place: Option<Place>,
+    pub place: Option<MemberInfo>,
 }
 
 /// A few bytes of an upper layer, on probes and acks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rider {
+pub struct Piggyback {
     pub topic: Topic,
     pub bytes: Vec<u8>,
 }
