--- a/membership/src/peer.rs
+++ b/membership/src/peer.rs
@@ -2,12 +2,12 @@
 
 use crate::ids::MemberId;
 use crate::machine::Members;
-use crate::message::{News, Place, State};
-use crate::view::{Change, Hearing, Known, Why, Wishes};
+use crate::message::{MemberInfo, State, Update};
+use crate::view::{Change, Effects, MemberView, Reachability, StateChangeReason};
 use ottersail::time::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Own clock of a suspicion; every member that hears of it runs one.
+/// Own clock of a suspicion_factor; every member that hears of it runs one.
 pub(crate) struct Suspicion {
     pub since: Ms,
     pub ends: Ms,
@@ -16,7 +16,7 @@
 }
 
 pub(crate) struct Peer {
-    pub known: Known,
+    pub known: MemberView,
     pub suspicion: Option<Suspicion>,
     /// Last direct acknowledgement.
     pub acked: Ms,
@@ -25,24 +25,28 @@
 }
 
 impl Peer {
-    pub fn new(now: Ms, news: &News, place: &Place) -> Peer {
-        let known = Known {
+    pub fn new(now: Ms, news: &Update, place: &MemberInfo) -> Peer {
+        let known = MemberView {
             name: place.name.clone(),
             state: news.state,
             address: place.address,
             site: place.site.clone(),
             incarnation: news.incarnation,
-            life: news.life,
-            hearing: if news.state <= State::Suspect { Hearing::ByOthers } else { Hearing::Nobody },
-            riders: BTreeMap::new(),
+            instance: news.instance,
+            reachability: if news.state <= State::Suspect {
+                Reachability::ThroughOthers
+            } else {
+                Reachability::Unreachable
+            },
+            piggybacks: BTreeMap::new(),
             since: now,
         };
         Peer { known, suspicion: None, acked: Ms::LONG_AGO, heard: Ms::LONG_AGO }
     }
 
-    pub fn place(&self) -> Place {
-        let Known { name, address, site, .. } = &self.known;
-        Place { name: name.clone(), address: *address, site: site.clone() }
+    pub fn place(&self) -> MemberInfo {
+        let MemberView { name, address, site, .. } = &self.known;
+        MemberInfo { name: name.clone(), address: *address, site: site.clone() }
     }
 
     pub fn up(&self) -> bool {
@@ -52,18 +56,18 @@
 
 impl Members {
     /// What this member would say of another.
-    pub(crate) fn news_of(&self, id: MemberId, by: Option<MemberId>) -> Option<News> {
+    pub(crate) fn update_about(&self, id: MemberId, by: Option<MemberId>) -> Option<Update> {
         let peer = self.peers.get(&id)?;
-        let Known { life, incarnation, state, .. } = peer.known;
-        Some(News { about: id, life, incarnation, state, by, place: Some(peer.place()) })
+        let MemberView { instance, incarnation, state, .. } = peer.known;
+        Some(Update { about: id, instance, incarnation, state, by, place: Some(peer.place()) })
     }
 
-    pub(crate) fn news_of_me(&self, state: State) -> News {
-        let me = &self.terms.me;
-        let place = Place { name: me.name.clone(), address: me.address, site: me.site.clone() };
-        News {
+    pub(crate) fn update_about_self(&self, state: State) -> Update {
+        let me = &self.terms.local;
+        let place = MemberInfo { name: me.name.clone(), address: me.address, site: me.site.clone() };
+        Update {
             about: me.id,
-            life: me.life,
+            instance: me.instance,
             incarnation: self.incarnation,
             state,
             by: None,
@@ -71,7 +75,14 @@
         }
     }
 
-    pub(crate) fn set_state(&mut self, now: Ms, id: MemberId, is: State, why: Why, out: &mut dyn Wishes) {
+    pub(crate) fn set_state(
+        &mut self,
+        now: Ms,
+        id: MemberId,
+        is: State,
+        why: StateChangeReason,
+        out: &mut dyn Effects,
+    ) {
         let Some(peer) = self.peers.get_mut(&id) else { return };
         let was = peer.known.state;
         if is != State::Suspect {
@@ -92,10 +103,10 @@
         self.note(Change::State { id, name, was: Some(was), is, why }, out);
         match is {
             State::Dead | State::Left => {
-                self.figures.burials += u64::from(is == State::Dead);
-                self.set_hearing(id, Hearing::Nobody, out);
+                self.counters.deaths += u64::from(is == State::Dead);
+                self.set_reachability(id, Reachability::Unreachable, out);
             }
-            State::Alive if was >= State::Dead => self.set_hearing(id, Hearing::ByOthers, out),
+            State::Alive if was >= State::Dead => self.set_reachability(id, Reachability::ThroughOthers, out),
             _ => {}
         }
     }
--- a/membership/src/probe.rs
+++ b/membership/src/probe.rs
@@ -1,9 +1,9 @@
 //! Probes: direct, then by helpers, then by the second way; only when all fail is a member suspected.
 
-use crate::ids::{DialTag, Life, MemberId};
+use crate::ids::{DialId, InstanceId, MemberId};
 use crate::machine::Members;
 use crate::message::{Body, Sender, State};
-use crate::view::{Hearing, Wishes};
+use crate::view::{Effects, Reachability};
 use ottersail::time::Ms;
 
 /// Parts of a period, each stretched by the local health: helpers are asked no later than the first, the
@@ -25,7 +25,7 @@
 
 pub(crate) struct Probe {
     pub target: MemberId,
-    pub life: Life,
+    pub instance: InstanceId,
     pub sent: Ms,
     pub due: Ms,
     pub stage: Stage,
@@ -42,7 +42,7 @@
     }
 
     /// The next of the round; a round is shuffled anew when it is through.
-    pub(crate) fn probe_next(&mut self, now: Ms, out: &mut dyn Wishes) {
+    pub(crate) fn probe_next(&mut self, now: Ms, out: &mut dyn Effects) {
         if self.passive() {
             return;
         }
@@ -58,25 +58,25 @@
         }
     }
 
-    pub(crate) fn probe(&mut self, now: Ms, target: MemberId, out: &mut dyn Wishes) {
+    pub(crate) fn probe(&mut self, now: Ms, target: MemberId, out: &mut dyn Effects) {
         let running = self.probes.values().any(|probe| probe.target == target);
         let Some(peer) = self.peers.get(&target) else { return };
         if running || self.probes.len() >= MOST_PROBES {
             return;
         }
-        let (life, address) = (peer.known.life, peer.known.address);
-        let wait = self.round_trip.max(self.terms.period * 0.05).min(self.terms.period * HELP_BY);
+        let (instance, address) = (peer.known.instance, peer.known.address);
+        let wait = self.round_trip.max(self.terms.probe_period * 0.05).min(self.terms.probe_period * HELP_BY);
         let due = now + wait * self.patience();
         let (helpers, nacks) = (Vec::new(), Vec::new());
         let number = self.number();
         let stage = Stage::Direct;
-        let probe = Probe { target, life, sent: now, due, stage, helpers, nacks, vouched: None };
+        let probe = Probe { target, instance, sent: now, due, stage, helpers, nacks, vouched: None };
         self.probes.insert(number, probe);
-        self.figures.probes += 1;
-        self.say_to(target, address, Body::Probe { number, to: target, life }, out);
+        self.counters.probes += 1;
+        self.say_to(target, address, Body::Probe { number, to: target, instance }, out);
     }
 
-    pub(crate) fn mind_probes(&mut self, now: Ms, out: &mut dyn Wishes) {
+    pub(crate) fn mind_probes(&mut self, now: Ms, out: &mut dyn Effects) {
         let due: Vec<u32> = self.probes.iter().filter(|(_, it)| it.due <= now).map(|(it, _)| *it).collect();
         for number in due {
             let Some(stage) = self.probes.get(&number).map(|probe| probe.stage) else { continue };
@@ -88,38 +88,45 @@
         }
     }
 
-    fn ask_helpers(&mut self, number: u32, out: &mut dyn Wishes) {
-        let Some((target, life)) = self.probes.get(&number).map(|it| (it.target, it.life)) else { return };
+    fn ask_helpers(&mut self, number: u32, out: &mut dyn Effects) {
+        let Some((target, instance)) = self.probes.get(&number).map(|it| (it.target, it.instance)) else {
+            return;
+        };
         let Some(at) = self.peers.get(&target).map(|peer| peer.known.address) else { return };
         let mut helpers = self.some_living(self.terms.helpers + 1);
         helpers.retain(|id| *id != target && self.peers[id].known.state == State::Alive);
         helpers.truncate(self.terms.helpers);
-        let until = self.terms.period * DIAL_AT * self.patience();
+        let until = self.terms.probe_period * DIAL_AT * self.patience();
         if let Some(probe) = self.probes.get_mut(&number) {
             probe.stage = Stage::Helpers;
             probe.due = probe.sent + until;
             probe.helpers.clone_from(&helpers);
         }
-        self.say_to(target, at, Body::Probe { number, to: target, life }, out);
+        self.say_to(target, at, Body::Probe { number, to: target, instance }, out);
         for id in helpers {
-            self.say_to(id, self.peers[&id].known.address, Body::ProbeFor { number, target, life, at }, out);
+            self.say_to(
+                id,
+                self.peers[&id].known.address,
+                Body::ProbeFor { number, target, instance, at },
+                out,
+            );
         }
     }
 
-    fn try_second_way(&mut self, number: u32, out: &mut dyn Wishes) {
-        let until = self.terms.period * VERDICT_AT * self.patience();
+    fn try_second_way(&mut self, number: u32, out: &mut dyn Effects) {
+        let until = self.terms.probe_period * VERDICT_AT * self.patience();
         let Some(probe) = self.probes.get_mut(&number) else { return };
         probe.stage = Stage::SecondWay;
         probe.due = probe.sent + until;
         if probe.vouched.is_none() {
             if let Some(address) = self.peers.get(&probe.target).map(|peer| peer.known.address) {
-                self.figures.dials += 1;
-                out.dial(address, DialTag(u64::from(number)));
+                self.counters.dials += 1;
+                out.dial(address, DialId(u64::from(number)));
             }
         }
     }
 
-    fn verdict(&mut self, now: Ms, number: u32, out: &mut dyn Wishes) {
+    fn verdict(&mut self, now: Ms, number: u32, out: &mut dyn Effects) {
         let Some(probe) = self.probes.remove(&number) else { return };
         // Helpers that say nothing at all are a sign that this member itself hears badly.
         let silent = probe.helpers.len().saturating_sub(probe.nacks.len());
@@ -134,12 +141,16 @@
         if !many {
             self.worse(if probe.helpers.is_empty() { 1 } else { silent as u32 });
         }
-        let hearing = if self.hears(now, probe.target, 3.0) { Hearing::OnlyIHear } else { Hearing::Nobody };
-        self.set_hearing(probe.target, hearing, out);
+        let reachability = if self.hears(now, probe.target, 3.0) {
+            Reachability::InboundOnly
+        } else {
+            Reachability::Unreachable
+        };
+        self.set_reachability(probe.target, reachability, out);
         let Some(peer) = self.peers.get(&probe.target) else { return };
-        if peer.known.life == probe.life && peer.up() {
-            self.figures.suspicions += 1;
-            let me = self.terms.me.id;
+        if peer.known.instance == probe.instance && peer.up() {
+            self.counters.suspicions += 1;
+            let me = self.terms.local.id;
             self.suspect(now, probe.target, Some(me), out);
             if many {
                 self.probe_more(now, out);
@@ -151,7 +162,7 @@
     }
 
     /// Guards against deaths of many at once that are found one a period: more of the round are probed.
-    fn probe_more(&mut self, now: Ms, out: &mut dyn Wishes) {
+    fn probe_more(&mut self, now: Ms, out: &mut dyn Effects) {
         for _ in 0..MORE {
             while let Some(id) = self.round.pop() {
                 if self.peers.get(&id).is_some_and(|peer| peer.known.state == State::Alive) {
@@ -162,13 +173,14 @@
         }
     }
 
-    pub(crate) fn acked(&mut self, now: Ms, from: Sender, number: u32, out: &mut dyn Wishes) {
-        let known = self.probes.get(&number).is_some_and(|it| it.target == from.id && it.life == from.life);
+    pub(crate) fn acked(&mut self, now: Ms, from: Sender, number: u32, out: &mut dyn Effects) {
+        let known =
+            self.probes.get(&number).is_some_and(|it| it.target == from.id && it.instance == from.instance);
         let Some(probe) = self.probes.remove(&number).filter(|_| known) else {
-            self.figures.strays += 1;
+            self.counters.unexpected += 1;
             return;
         };
-        self.figures.acks += 1;
+        self.counters.acks += 1;
         self.better();
         if probe.stage == Stage::Direct {
             // Waits for four times the smoothed round trip.
@@ -177,21 +189,21 @@
         if let Some(peer) = self.peers.get_mut(&from.id) {
             peer.acked = now;
         }
-        self.set_hearing(from.id, Hearing::Both, out);
+        self.set_reachability(from.id, Reachability::Mutual, out);
     }
 
-    pub(crate) fn vouched(&mut self, now: Ms, number: u32, hears_me: bool, out: &mut dyn Wishes) {
+    pub(crate) fn vouched(&mut self, now: Ms, number: u32, hears_me: bool, out: &mut dyn Effects) {
         let Some(probe) = self.probes.get_mut(&number) else {
-            self.figures.strays += 1;
+            self.counters.unexpected += 1;
             return;
         };
         probe.vouched = Some(probe.vouched.unwrap_or(false) || hears_me);
-        let (target, life) = (probe.target, probe.life);
-        self.speak_for(now, target, life, out);
+        let (target, instance) = (probe.target, probe.instance);
+        self.speak_for(now, target, instance, out);
     }
 
     pub(crate) fn nacked(&mut self, from: MemberId, number: u32) {
-        self.figures.nacks += 1;
+        self.counters.nacks += 1;
         if let Some(probe) = self.probes.get_mut(&number) {
             if probe.helpers.contains(&from) && !probe.nacks.contains(&from) {
                 probe.nacks.push(from);
@@ -199,7 +211,7 @@
         }
     }
 
-    pub(crate) fn dial_answered(&mut self, now: Ms, tag: DialTag, up: bool, out: &mut dyn Wishes) {
+    pub(crate) fn dial_answered(&mut self, now: Ms, tag: DialId, up: bool, out: &mut dyn Effects) {
         let number = u32::try_from(tag.0).ok().filter(|it| up && self.probes.contains_key(it));
         if let Some(number) = number {
             self.vouched(now, number, false, out);
--- a/membership/src/chance.rs
+++ b/membership/src/rng.rs
@@ -1,12 +1,12 @@
-//! Chance that repeats from its seed.
+//! SeededRng that repeats from its seed.
 
 /// A multiply-with-carry generator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Chance(u64);
+pub struct SeededRng(u64);
 
-impl Chance {
-    pub fn new(seed: u64) -> Chance {
-        let mut chance = Chance(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
+impl SeededRng {
+    pub fn new(seed: u64) -> SeededRng {
+        let mut chance = SeededRng(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1);
         // Seeds that differ in a few bits give near equal first draws.
         (0..8).for_each(|_| {
             chance.below(2);
@@ -20,7 +20,7 @@
     }
 
     /// From just above 0 to 1.
-    pub fn part(&mut self) -> f64 {
+    pub fn fraction(&mut self) -> f64 {
         (self.below(1 << 24) + 1) as f64 / f64::from(1 << 24)
     }
 
@@ -31,7 +31,7 @@
     }
 
     /// Up to `count` of the list, in no order.
-    pub fn some<T>(&mut self, mut list: Vec<T>, count: usize) -> Vec<T> {
+    pub fn sample<T>(&mut self, mut list: Vec<T>, count: usize) -> Vec<T> {
         for at in 0..count.min(list.len()) {
             let other = at + self.below(list.len() - at);
             list.swap(at, other);
--- a/membership/src/view.rs
+++ b/membership/src/view.rs
@@ -1,66 +1,66 @@
 //! What the outside sees of the machine.
 
-use crate::ids::{Address, DialTag, Incarnation, Life, MemberId, Topic};
+use crate::ids::{Address, DialId, Incarnation, InstanceId, MemberId, Topic};
 use crate::message::{Message, State};
 use ottersail::time::Ms;
 use std::collections::BTreeMap;
 
 /// What the machine wants done.
-pub trait Wishes {
+pub trait Effects {
     /// Seal and send one datagram.
     fn send(&mut self, to: Address, message: &Message);
-    /// Try the second way and answer with [`crate::Members::dialled`]. Up means that the process answered,
+    /// Try the second way and answer with [`crate::Members::handle_dial_result`]. Up means that the process answered,
     /// not only that a kernel took the connection: a stopped process would seem to live.
-    fn dial(&mut self, to: Address, tag: DialTag);
+    fn dial(&mut self, to: Address, tag: DialId);
     /// For an upper layer.
-    fn hear(&mut self, from: MemberId, topic: Topic, bytes: &[u8]);
+    fn deliver(&mut self, from: MemberId, topic: Topic, bytes: &[u8]);
     /// For log lines and upper layers.
     fn changed(&mut self, change: &Change);
 }
 
 /// Who hears whom between this member and another, by what was seen lately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Hearing {
+pub enum Reachability {
     /// It acknowledged this member's own probe.
-    Both,
+    Mutual,
     /// Its datagrams arrive, but it does not answer.
-    OnlyIHear,
+    InboundOnly,
     /// Others say that it hears this member; nothing of it arrives.
-    OnlyHeard,
+    OutboundOnly,
     /// Others, or the second way, say that it lives.
-    ByOthers,
-    Nobody,
+    ThroughOthers,
+    Unreachable,
 }
 
 /// What is known of one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Known {
+pub struct MemberView {
     pub name: String,
     pub state: State,
     pub address: Address,
     pub site: String,
     pub incarnation: Incarnation,
-    pub life: Life,
-    pub hearing: Hearing,
+    pub instance: InstanceId,
+    pub reachability: Reachability,
     /// The last rider of each topic.
-    pub riders: BTreeMap<Topic, Vec<u8>>,
+    pub piggybacks: BTreeMap<Topic, Vec<u8>>,
     /// When the state was last changed.
     pub since: Ms,
 }
 
-/// Why a state was changed.
+/// StateChangeReason a state was changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum StateChangeReason {
     /// It came in or came back.
     Joined,
     /// It contradicted what was said of it.
     Refuted,
     /// This member's own probes, helpers and second way all failed.
-    Unanswered,
+    ProbeFailed,
     /// This member's own suspicion ran out.
-    RanOut,
+    SuspicionExpired,
     /// Others said so.
-    Told,
+    Reported,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -71,20 +71,20 @@
         name: String,
         was: Option<State>,
         is: State,
-        why: Why,
+        why: StateChangeReason,
     },
-    Hearing {
+    Reachability {
         id: MemberId,
-        was: Hearing,
-        is: Hearing,
+        was: Reachability,
+        is: Reachability,
     },
-    /// This member's name is held by another life at that address: it stays out until that one is gone.
-    Held {
+    /// This member's name is held by another instance at that address: it stays out until that one is gone.
+    NameConflict {
         by: Address,
-        life: Life,
+        instance: InstanceId,
     },
     /// This member has come in.
-    Entered,
+    Joined,
     /// This member's own bell came this late.
     Paused {
         late: Ms,
@@ -93,7 +93,7 @@
 
 /// Counters since birth, for metrics; the last three are of now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Counters {
     pub sent: u64,
     pub received: u64,
     pub probes: u64,
@@ -103,12 +103,12 @@
     pub dials: u64,
     pub suspicions: u64,
     pub refutations: u64,
-    pub burials: u64,
+    pub deaths: u64,
     pub exchanges: u64,
     pub pauses: u64,
     pub conflicts: u64,
     /// Messages that made no sense here: unknown number, wrong receiver, passive.
-    pub strays: u64,
+    pub unexpected: u64,
     /// From 0, all well, to 8.
     pub health: u32,
     pub alive: u64,
--- a/membership/tests/cuts.rs
+++ b/membership/tests/cuts.rs
@@ -2,7 +2,7 @@
 
 mod sim;
 
-use ottersail_membership::{Change, Hearing, State};
+use ottersail_membership::{Change, Reachability, State};
 use sim::Net;
 use std::collections::BTreeSet;
 use test_case::test_case;
@@ -64,9 +64,9 @@
     pairs.filter(|(of, about)| of != about).filter_map(|(of, about)| net.state(of, about)).collect()
 }
 
-fn hearing(net: &Net, of: usize, about: usize) -> Option<Hearing> {
-    let mut roster = net.nodes[of].members.as_ref()?.roster();
-    roster.find(|(id, _)| **id == net.id(about)).map(|(_, known)| known.hearing)
+fn reachability(net: &Net, of: usize, about: usize) -> Option<Reachability> {
+    let mut roster = net.nodes[of].members.as_ref()?.others();
+    roster.find(|(id, _)| **id == net.id(about)).map(|(_, known)| known.reachability)
 }
 
 // Each cell: what those on the one side hold of the other side after 120 s (400 s for one from all), and the other way round.
@@ -108,11 +108,11 @@
     println!("swings {}, wrong {}", most_swings(&net, from), net.wrong());
     if who == Who::Pair {
         let wanted = match way {
-            Way::Deaf => (Hearing::OnlyIHear, Hearing::OnlyHeard),
-            Way::Mute => (Hearing::OnlyHeard, Hearing::OnlyIHear),
-            Way::Both => (Hearing::ByOthers, Hearing::ByOthers),
+            Way::Deaf => (Reachability::InboundOnly, Reachability::OutboundOnly),
+            Way::Mute => (Reachability::OutboundOnly, Reachability::InboundOnly),
+            Way::Both => (Reachability::ThroughOthers, Reachability::ThroughOthers),
         };
-        assert_eq!((hearing(&net, 4, 9), hearing(&net, 9, 4)), (Some(wanted.0), Some(wanted.1)));
+        assert_eq!((reachability(&net, 4, 9), reachability(&net, 9, 4)), (Some(wanted.0), Some(wanted.1)));
     }
     assert_eq!(of_upper, BTreeSet::from([lower_of_upper]), "lower's view of upper");
     assert_eq!(of_lower, BTreeSet::from([upper_of_lower]), "upper's view of lower");
--- a/membership/tests/faults.rs
+++ b/membership/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Loss, pauses and starved members: false burials do not outlive their fault, and most never come.
+//! Loss, pauses and starved members: false deaths do not outlive their fault, and most never come.
 
 mod sim;
 
@@ -15,7 +15,7 @@
     net
 }
 
-fn burials(net: &Net, since: f64) -> usize {
+fn deaths(net: &Net, since: f64) -> usize {
     net.nodes.iter().map(|node| node.turns(since, State::Dead)).sum()
 }
 
@@ -30,11 +30,11 @@
         let from = net.now;
         (net.loss, net.dials) = (loss, dials);
         net.run(60_000.0);
-        let buried = burials(&net, from);
+        let buried = deaths(&net, from);
         net.loss = 0;
         let healed = net.until_right(20_000.0);
-        println!("loss {loss} seed {seed}: {buried} burials, healed {healed:?}");
-        assert!(buried <= most, "{buried} burials");
+        println!("loss {loss} seed {seed}: {buried} deaths, healed {healed:?}");
+        assert!(buried <= most, "{buried} deaths");
         assert!(healed.is_some(), "{} wrong", net.wrong());
     }
 }
@@ -53,11 +53,11 @@
             net.nodes[COUNT - 1 - at].paused_until = from + span;
         }
         net.run(span);
-        let buried = burials(&net, from);
-        assert!(may_be_buried || buried == 0, "{buried} burials");
+        let buried = deaths(&net, from);
+        assert!(may_be_buried || buried == 0, "{buried} deaths");
         let awake = net.now;
         let healed = net.until_right(10_000.0);
-        println!("pause {span} of {how_many}: {buried} burials, healed {healed:?}");
+        println!("pause {span} of {how_many}: {buried} deaths, healed {healed:?}");
         assert!(healed.is_some(), "{} wrong", net.wrong());
         net.run(20_000.0);
         for at in 0..how_many {
@@ -81,7 +81,7 @@
         net.nodes[7].starved = Some((3000.0, 1000.0));
         net.run(120_000.0);
         suspected += net.nodes.iter().map(|node| node.turns(from, State::Suspect)).sum::<usize>();
-        buried += burials(&net, from);
+        buried += deaths(&net, from);
     }
     println!("{suspected} suspicions");
     assert!(suspected > 0);
@@ -117,5 +117,5 @@
     let from = net.now;
     net.cuts.clear();
     assert!(net.until_right(10_000.0).is_some(), "{} wrong", net.wrong());
-    assert_eq!(burials(&net, from), 0, "the halves' own living are not buried by the other's word");
+    assert_eq!(deaths(&net, from), 0, "the halves' own living are not buried by the other's word");
 }
--- a/membership/tests/identity.rs
+++ b/membership/tests/identity.rs
@@ -33,17 +33,18 @@
     net.cuts.clear();
     net.run(20_000.0);
     let holds = |of: usize| {
-        let mut roster = net.nodes[of].members.as_ref().unwrap().roster();
-        roster.find(|(id, _)| **id == net.id(1)).map(|(_, known)| (known.life, known.state))
+        let mut roster = net.nodes[of].members.as_ref().unwrap().others();
+        roster.find(|(id, _)| **id == net.id(1)).map(|(_, known)| (known.instance, known.state))
     };
     let views: BTreeSet<_> = [0, 2, 3, 4, 5].into_iter().map(holds).collect();
     assert_eq!(views.len(), 1, "{views:?}");
     assert_eq!(holds(0).map(|it| it.1), Some(State::Alive));
-    let aside =
-        |at: usize| net.nodes[at].changes.iter().filter(|(_, it)| matches!(it, Change::Held { .. })).count();
+    let aside = |at: usize| {
+        net.nodes[at].changes.iter().filter(|(_, it)| matches!(it, Change::NameConflict { .. })).count()
+    };
     assert_eq!((aside(1).min(1) + aside(second).min(1)), 1, "one steps aside, and says so");
     let stays = if aside(1) == 0 { 1 } else { second };
-    assert_eq!(holds(0).map(|it| it.0), Some(net.nodes[stays].life));
+    assert_eq!(holds(0).map(|it| it.0), Some(net.nodes[stays].instance));
 }
 
 #[test]
--- a/membership/tests/network.rs
+++ b/membership/tests/network.rs
@@ -2,7 +2,7 @@
 
 mod sim;
 
-use ottersail_membership::{Change, State, Topic, Why};
+use ottersail_membership::{Change, State, StateChangeReason, Topic};
 use sim::Net;
 use test_case::test_case;
 
@@ -54,9 +54,9 @@
     for (at, node) in net.nodes.iter().enumerate() {
         let others = net.nodes.iter().enumerate().filter(|(other, _)| *other != at);
         for (_, other) in others {
-            let roster = node.members.as_ref().unwrap().roster();
-            let life = roster.filter(|(id, _)| **id == other.id).map(|(_, known)| known.life).next();
-            assert_eq!(life, Some(other.life));
+            let roster = node.members.as_ref().unwrap().others();
+            let instance = roster.filter(|(id, _)| **id == other.id).map(|(_, known)| known.instance).next();
+            assert_eq!(instance, Some(other.instance));
         }
     }
 }
@@ -94,9 +94,9 @@
     net.run(5000.0);
     assert_eq!(net.wrong(), 0);
     for node in net.nodes.iter().filter(|node| node.name != "m3") {
-        let roster = node.members.as_ref().unwrap().roster();
-        let lives: Vec<_> = roster.filter(|(id, _)| **id == net.id(3)).map(|(_, it)| it.life).collect();
-        assert_eq!(lives, [net.nodes[3].life]);
+        let roster = node.members.as_ref().unwrap().others();
+        let lives: Vec<_> = roster.filter(|(id, _)| **id == net.id(3)).map(|(_, it)| it.instance).collect();
+        assert_eq!(lives, [net.nodes[3].instance]);
         assert_eq!(node.turns(at, State::Dead), 0);
     }
 }
@@ -105,13 +105,13 @@
 fn a_tell_and_a_rider_arrive() {
     let mut net = settled(3, 17);
     let to = net.id(1);
-    net.tell(0, to, Topic(4), &[7; 900]);
-    net.nodes[0].members.as_mut().unwrap().carry(Topic(2), &[1, 2, 3]);
+    net.send_message(0, to, Topic(4), &[7; 900]);
+    net.nodes[0].members.as_mut().unwrap().set_piggyback(Topic(2), &[1, 2, 3]);
     net.run(5000.0);
     assert_eq!(net.nodes[1].heard, [(net.id(0), Topic(4), vec![7; 900])]);
-    let mut roster = net.nodes[2].members.as_ref().unwrap().roster();
-    let known = roster.find(|(id, _)| **id == net.id(0)).map(|(_, known)| known.riders.clone());
-    assert_eq!(known.and_then(|riders| riders.get(&Topic(2)).cloned()), Some(vec![1, 2, 3]));
+    let mut roster = net.nodes[2].members.as_ref().unwrap().others();
+    let known = roster.find(|(id, _)| **id == net.id(0)).map(|(_, known)| known.piggybacks.clone());
+    assert_eq!(known.and_then(|piggybacks| piggybacks.get(&Topic(2)).cloned()), Some(vec![1, 2, 3]));
     assert!(net.nodes.iter().all(|node| node.longest <= 1200));
 }
 
@@ -122,7 +122,7 @@
     net.run(10_000.0);
     assert_ne!(net.id(other), net.id(1));
     assert_eq!(net.state(0, other), None);
-    assert_eq!(net.nodes[other].members.as_ref().unwrap().roster().count(), 0);
+    assert_eq!(net.nodes[other].members.as_ref().unwrap().others().count(), 0);
 }
 
 #[test]
@@ -130,20 +130,19 @@
     let mut net = settled(5, 23);
     let second = net.add("north", "m4", 2);
     net.run(10_000.0);
-    let held =
-        |(_, change): &(f64, Change)| matches!(change, Change::Held { by, .. } if *by == sim::address(4));
+    let held = |(_, change): &(f64, Change)| matches!(change, Change::NameConflict { by, .. } if *by == sim::address(4));
     assert_eq!(net.nodes[second].changes.iter().filter(|it| held(it)).count(), 1);
     let holds = |net: &Net| {
         let members = net.nodes[0].members.as_ref().unwrap();
-        members.roster().find(|(id, _)| **id == net.id(4)).map(|(_, known)| known.address)
+        members.others().find(|(id, _)| **id == net.id(4)).map(|(_, known)| known.address)
     };
     assert_eq!(holds(&net), Some(sim::address(4)));
-    let burials: usize = net.nodes.iter().map(|node| node.turns(3000.0, State::Dead)).sum();
-    assert_eq!(burials, 0, "nobody swings between the two");
+    let deaths: usize = net.nodes.iter().map(|node| node.turns(3000.0, State::Dead)).sum();
+    assert_eq!(deaths, 0, "nobody swings between the two");
     net.crash(4);
     net.run(15_000.0);
     assert_eq!(holds(&net), Some(sim::address(second)));
-    assert!(net.nodes[second].changes.iter().any(|(_, change)| *change == Change::Entered));
+    assert!(net.nodes[second].changes.iter().any(|(_, change)| *change == Change::Joined));
 }
 
 #[test]
@@ -163,6 +162,7 @@
     net.crash(2);
     let at = net.now;
     net.run(8000.0);
-    let why: Vec<Why> = (0..2).filter_map(|it| net.nodes[it].buried(net.id(2), at)).map(|it| it.1).collect();
-    assert!(why.contains(&Why::RanOut), "{why:?}");
+    let why: Vec<StateChangeReason> =
+        (0..2).filter_map(|it| net.nodes[it].buried(net.id(2), at)).map(|it| it.1).collect();
+    assert!(why.contains(&StateChangeReason::SuspicionExpired), "{why:?}");
 }
--- a/membership/tests/sim/mod.rs
+++ b/membership/tests/sim/mod.rs
@@ -5,13 +5,13 @@
 
 use node::{Node, Out};
 use ottersail::time::Ms;
-use ottersail_membership::{Address, DialTag, MemberId, Message, Sender, State, Topic};
+use ottersail_membership::{Address, DialId, MemberId, Message, Sender, State, Topic};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub enum Event {
     Bell,
     Message { from: Sender, message: Message },
-    Dialled { tag: DialTag, up: bool },
+    Dialled { tag: DialId, up: bool },
 }
 
 pub struct Net {
@@ -33,7 +33,7 @@
 }
 
 impl Net {
-    /// `count` members that know the first three as seeds, born within 100 ms.
+    /// `count` members that know the first three as seeds, new within 100 ms.
     pub fn of(count: usize, seed: u64) -> Net {
         let mut net = Net {
             now: 0.0,
@@ -107,9 +107,9 @@
         self.carry_out(at, out);
     }
 
-    pub fn tell(&mut self, at: usize, to: MemberId, topic: Topic, bytes: &[u8]) {
+    pub fn send_message(&mut self, at: usize, to: MemberId, topic: Topic, bytes: &[u8]) {
         let out = self.nodes[at].ask(self.now, |members, now, hands| {
-            assert!(members.tell(now, to, topic, bytes, hands));
+            assert!(members.send_message(now, to, topic, bytes, hands));
         });
         self.carry_out(at, out);
     }
@@ -141,7 +141,7 @@
         if to >= self.nodes.len() || self.cuts.contains(&(at, to)) || self.below(100) < self.loss {
             return;
         }
-        // What the gate does: another cluster's datagrams are dropped.
+        // What the auth does: another cluster's datagrams are dropped.
         if self.nodes[to].cluster != self.nodes[at].cluster || self.nodes[to].members.is_none() {
             return;
         }
@@ -164,7 +164,7 @@
 
     pub fn state(&self, of: usize, about: usize) -> Option<State> {
         let id = self.nodes[about].id;
-        let known = self.nodes[of].members.as_ref()?.roster().find(|(it, _)| **it == id)?.1;
+        let known = self.nodes[of].members.as_ref()?.others().find(|(it, _)| **it == id)?.1;
         Some(known.state)
     }
 
@@ -177,7 +177,7 @@
         let up: Vec<&Node> = self.nodes.iter().filter(|node| node.members.is_some()).collect();
         let ids: BTreeSet<MemberId> = up.iter().map(|node| node.id).collect();
         let held = |node: &&Node| {
-            let roster = node.members.iter().flat_map(|members| members.roster());
+            let roster = node.members.iter().flat_map(|members| members.others());
             roster.filter(|(id, known)| known.state == State::Alive && ids.contains(*id)).count()
         };
         up.iter().map(|node| ids.len() - 1 - held(node)).sum()
--- a/membership/tests/sim/node.rs
+++ b/membership/tests/sim/node.rs
@@ -3,16 +3,17 @@
 use super::{address, Event};
 use ottersail::time::Ms;
 use ottersail_membership::{
-    Address, Change, DialTag, Life, Me, MemberId, Members, Message, Sender, State, Terms, Topic, Why, Wishes,
+    Address, Change, DialId, Effects, InstanceId, LocalMember, MemberId, Members, MembershipConfig, Message,
+    Sender, State, StateChangeReason, Topic,
 };
 
-/// What the gate adds to a message, and UDP over IPv4, in bytes.
+/// What the auth adds to a message, and UDP over IPv4, in bytes.
 const SEAL: usize = 49;
 const HEADERS: usize = 28;
 
 pub enum Out {
     Send(Address, Message),
-    Dial(Address, DialTag),
+    Dial(Address, DialId),
 }
 
 pub struct Node {
@@ -20,7 +21,7 @@
     pub cluster: String,
     pub name: String,
     pub id: MemberId,
-    pub life: Life,
+    pub instance: InstanceId,
     pub generation: u32,
     pub paused_until: f64,
     /// Gets no CPU for the first `.1` of every `.0` ms.
@@ -43,7 +44,7 @@
             cluster: cluster.into(),
             name: name.into(),
             id: MemberId::of(cluster, name),
-            life: Life(0),
+            instance: InstanceId(0),
             generation: 0,
             paused_until: 0.0,
             starved: None,
@@ -65,12 +66,12 @@
     }
 
     pub fn start(&mut self, now: f64, seed: u64) {
-        self.life = Life(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ self.at as u64);
+        self.instance = InstanceId(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ self.at as u64);
         self.generation += 1;
         let (name, site) = (self.name.clone(), "hall".into());
-        let me = Me { name, id: self.id, life: self.life, address: address(self.at), site };
-        let terms = Terms::new(me, self.seeds.clone());
-        self.members = Some(Members::born(self.clock(now + 100.0), seed, terms));
+        let me = LocalMember { name, id: self.id, instance: self.instance, address: address(self.at), site };
+        let terms = MembershipConfig::new(me, self.seeds.clone());
+        self.members = Some(Members::new(self.clock(now + 100.0), seed, terms));
         self.bell = None;
     }
 
@@ -80,7 +81,7 @@
     }
 
     pub fn sender(&self) -> Sender {
-        Sender { id: self.id, life: self.life, address: address(self.at) }
+        Sender { id: self.id, instance: self.instance, address: address(self.at) }
     }
 
     pub fn free_at(&self, now: f64) -> f64 {
@@ -100,14 +101,14 @@
             self.bell = None;
         }
         self.ask(now, |members, at, hands| match event {
-            Event::Bell if members.bell_at() <= at => members.bell(at, hands),
+            Event::Bell if members.next_deadline() <= at => members.handle_deadline(at, hands),
             Event::Bell => {}
-            Event::Message { from, message } => members.message(at, from, message, hands),
-            Event::Dialled { tag, up } => members.dialled(at, tag, up, hands),
+            Event::Message { from, message } => members.handle_message(at, from, message, hands),
+            Event::Dialled { tag, up } => members.handle_dial_result(at, tag, up, hands),
         })
     }
 
-    pub fn ask(&mut self, now: f64, what: impl FnOnce(&mut Members, Ms, &mut dyn Wishes)) -> Vec<Out> {
+    pub fn ask(&mut self, now: f64, what: impl FnOnce(&mut Members, Ms, &mut dyn Effects)) -> Vec<Out> {
         let at = self.clock(now);
         let Some(mut members) = self.members.take() else { return Vec::new() };
         what(&mut members, at, &mut Hands { now, node: self });
@@ -117,7 +118,7 @@
 
     /// When a bell has to be queued, if it is sooner than the one that is.
     pub fn next_bell(&mut self) -> Option<f64> {
-        let due = self.members.as_ref()?.bell_at().0 - 1000.0 * self.at as f64;
+        let due = self.members.as_ref()?.next_deadline().0 - 1000.0 * self.at as f64;
         if !due.is_finite() || self.bell.is_some_and(|bell| bell <= due) {
             return None;
         }
@@ -134,7 +135,7 @@
         self.changes.iter().filter(turn).count()
     }
 
-    pub fn buried(&self, about: MemberId, since: f64) -> Option<(f64, Why)> {
+    pub fn buried(&self, about: MemberId, since: f64) -> Option<(f64, StateChangeReason)> {
         self.changes.iter().find_map(|(at, change)| match change {
             Change::State { id, is: State::Dead, why, .. } if *id == about && *at >= since => {
                 Some((*at, *why))
@@ -149,7 +150,7 @@
     node: &'a mut Node,
 }
 
-impl Wishes for Hands<'_> {
+impl Effects for Hands<'_> {
     fn send(&mut self, to: Address, message: &Message) {
         let bytes = postcard::to_allocvec(message).map_or(0, |bytes| bytes.len());
         self.node.longest = self.node.longest.max(bytes + SEAL);
@@ -158,11 +159,11 @@
         self.node.outs.push(Out::Send(to, message.clone()));
     }
 
-    fn dial(&mut self, to: Address, tag: DialTag) {
+    fn dial(&mut self, to: Address, tag: DialId) {
         self.node.outs.push(Out::Dial(to, tag));
     }
 
-    fn hear(&mut self, from: MemberId, topic: Topic, bytes: &[u8]) {
+    fn deliver(&mut self, from: MemberId, topic: Topic, bytes: &[u8]) {
         self.node.heard.push((from, topic, bytes.to_vec()));
     }
 
--- a/model-checker/tests/founding/mod.rs
+++ b/model-checker/tests/founding/mod.rs
@@ -11,7 +11,7 @@
 
 use node::{id, Node, Wished};
 use ottersail_consensus::{Ballot, Change, Guards, Key, Memory, Message, Outcome, RequestId, Value};
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 use ottersail_model_checker::{print_of, World};
 
 const KEY: Key = Key::Head;
@@ -126,7 +126,7 @@
     /// All of a round at one moment, between these two alone.
     fn round(&mut self, by: usize, with: usize) {
         self.rounds += 1;
-        let request = RequestId { member: ASKER, life: Life(1), number: self.rounds };
+        let request = RequestId { member: ASKER, life: InstanceId(1), number: self.rounds };
         let change = Change::Set { if_revision: 0, body: vec![self.rounds as u8] };
         let propose = Message::Propose { request, key: KEY, change };
         // As if it had been refused before: its ballot is above those of earlier rounds.
--- a/model-checker/tests/founding/node.rs
+++ b/model-checker/tests/founding/node.rs
@@ -7,7 +7,7 @@
 use ottersail_consensus::{
     Councillor, Guards, Key, Memory, Message, Open, Outcome, Record, Stored, Terms, Token, Value, Wishes,
 };
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 use ottersail_model_checker::print_of;
 
 pub fn id(node: usize) -> MemberId {
@@ -157,7 +157,7 @@
 fn born(me: usize, size: usize, life: u64, disk: &Stored, guards: Guards) -> Councillor {
     let all: Vec<MemberId> = (0..size).map(id).collect();
     // Its bell may ring at any time.
-    let terms = Terms { again: Ms(0.0), ..Terms::new(id(me), Life(life), &all, 1) };
+    let terms = Terms { again: Ms(0.0), ..Terms::new(id(me), InstanceId(life), &all, 1) };
     let mut council = Councillor::born(Ms(0.0), terms, disk.clone());
     council.sabotage(guards);
     council.living(&BTreeSet::from([id(me)]));
--- a/model-checker/tests/leases/mod.rs
+++ b/model-checker/tests/leases/mod.rs
@@ -7,14 +7,14 @@
 use std::hash::{Hash, Hasher};
 
 use node::{Ask, Does, Node, Says};
-use ottersail_leases::{Bucket, BucketNo, Guards, Slot, Terms};
+use ottersail_leases::{Bucket, BucketId, Guards, LeaseConfig, Slot};
 use ottersail_model_checker::net::{Faults, Net, NetStep, Rates};
 use ottersail_model_checker::{print_of, World};
 
 pub const COUNCIL: usize = 3;
 pub const A: usize = 3;
 pub const B: usize = 4;
-pub const NO: BucketNo = BucketNo(0);
+pub const NO: BucketId = BucketId(0);
 
 /// A change under way: by whom, to what, and which councillors let it pass.
 #[derive(Clone, Debug, Hash)]
@@ -73,9 +73,9 @@
 }
 
 /// A lease of 32 units; a tick of 8 true units takes a clock on by 7 to 9 of its own: within an eighth.
-pub fn terms(guards: Guards) -> Terms {
+pub fn terms(guards: Guards) -> LeaseConfig {
     let councillors = (0..COUNCIL).map(node::id).collect();
-    Terms { slots: 1, lease_ms: 32, drift_ppm: 125_000, councillors, guards }
+    LeaseConfig { slots: 1, lease_ms: 32, drift_ppm: 125_000, councillors, guards }
 }
 
 impl Fleet {
--- a/model-checker/tests/leases/node.rs
+++ b/model-checker/tests/leases/node.rs
@@ -5,8 +5,8 @@
 
 use ottersail::time::Ms;
 use ottersail_leases::{
-    Answer, Bucket, BucketNo, Holder, Life, MemberId, Note, Part, Release, Renew, Renewals, Renewed, Slot,
-    Terms, Wishes,
+    Answer, Bucket, BucketId, Effects, Holder, InstanceId, LeaseConfig, LeaseEvent, LeaseGrants, MemberId,
+    Release, Renew, Renewed, Slot, SlotShare,
 };
 use ottersail_model_checker::net::{Machine, Memory, Out};
 
@@ -16,8 +16,8 @@
     MemberId(node as u64 + 1)
 }
 
-pub fn who(node: usize) -> (MemberId, Life) {
-    (id(node), Life(node as u64 + 1))
+pub fn who(node: usize) -> (MemberId, InstanceId) {
+    (id(node), InstanceId(node as u64 + 1))
 }
 
 fn at(clock: u32) -> Ms {
@@ -59,7 +59,7 @@
 
 #[derive(Clone, Hash)]
 pub enum Node {
-    Councillor { terms: Terms, renewals: Renewals, accepted: Bucket },
+    Councillor { terms: LeaseConfig, renewals: LeaseGrants, accepted: Bucket },
     Holder { holder: Box<Holder>, bells: u8, lets_go: bool, asked: Vec<(u64, Option<Bucket>)>, stops: bool },
 }
 
@@ -70,42 +70,42 @@
     stops: bool,
 }
 
-impl Wishes for Wished {
+impl Effects for Wished {
     fn renew(&mut self, to: MemberId, message: &Renew) {
         self.out.push((to.0 as usize - 1, Says::Renew(message.clone())));
     }
     fn release(&mut self, to: MemberId, message: &Release) {
         self.out.push((to.0 as usize - 1, Says::Release(message.clone())));
     }
-    fn read(&mut self, _: BucketNo) {
+    fn read(&mut self, _: BucketId) {
         self.asked.push((0, None));
     }
-    fn propose(&mut self, no: BucketNo, if_revision: u64, body: Vec<u8>) {
-        let bucket = Bucket::read(no, 1, &body).expect("its own body");
+    fn propose(&mut self, no: BucketId, if_revision: u64, body: Vec<u8>) {
+        let bucket = Bucket::decode(no, 1, &body).expect("its own body");
         self.asked.push((if_revision, Some(bucket)));
     }
-    fn shrink(&mut self, _: Option<Part>) {
+    fn shrink(&mut self, _: Option<SlotShare>) {
         self.stops = true;
     }
-    fn note(&mut self, _: Note) {}
+    fn note(&mut self, _: LeaseEvent) {}
 }
 
 impl Node {
-    pub fn councillor(terms: &Terms, chosen: &Bucket) -> Node {
-        let renewals = Renewals::born(BEFORE, terms.clone());
+    pub fn councillor(terms: &LeaseConfig, chosen: &Bucket) -> Node {
+        let renewals = LeaseGrants::new(BEFORE, terms.clone());
         Node::Councillor { terms: terms.clone(), renewals, accepted: chosen.clone() }
     }
 
-    pub fn holder(node: usize, terms: &Terms, chosen: &Bucket, bells: u8, lets_go: bool) -> Node {
-        let mut holder = Holder::born(BEFORE, 5, who(node), terms.clone());
-        holder.roster(BTreeMap::from([who(node)]));
+    pub fn holder(node: usize, terms: &LeaseConfig, chosen: &Bucket, bells: u8, lets_go: bool) -> Node {
+        let mut holder = Holder::new(BEFORE, 5, who(node), terms.clone());
+        holder.set_alive(BTreeMap::from([who(node)]));
         let mut wished = Wished::default();
-        let body = chosen.body().expect("one seat fits");
-        holder.learned(NO, 1, &body, &mut wished).expect("as written");
+        let body = chosen.encode().expect("one seat fits");
+        holder.register_changed(NO, 1, &body, &mut wished).expect("as written");
         // What is wished before the first tick is lost, and A's name stands already: B is refused and waits.
-        holder.aim(SETTLED, 1, &mut wished);
+        holder.set_target(SETTLED, 1, &mut wished);
         if !wished.asked.is_empty() {
-            let refused = holder.answered(SETTLED, NO, Answer::Refused, &mut Wished::default());
+            let refused = holder.council_answered(SETTLED, NO, Answer::Refused, &mut Wished::default());
             refused.expect("nothing to read");
         }
         Node::Holder { holder: Box::new(holder), bells, lets_go, asked: vec![], stops: false }
@@ -160,7 +160,7 @@
         if let Node::Councillor { renewals, accepted, .. } = self {
             match says {
                 Says::Renew(ask) => {
-                    let renewed = renewals.renew(now, id(from), ask, |slot| accepted.seat(slot.0.into()));
+                    let renewed = renewals.renew(now, id(from), ask, |slot| accepted.entry(slot.0.into()));
                     out.push((from, Says::Renewed(renewed)));
                 }
                 Says::Release(release) => renewals.release(now, id(from), release),
@@ -171,13 +171,13 @@
         self.with(out, |holder, wished| match says {
             Says::Renewed(answer) => holder.renewed(now, id(from), answer, wished),
             Says::Answer { chosen, revision, bucket } => {
-                let body = bucket.as_ref().map(|it| it.body().expect("one seat fits"));
+                let body = bucket.as_ref().map(|it| it.encode().expect("one seat fits"));
                 let answer = match (body, chosen) {
                     (Some(body), true) => Answer::Chosen { revision: *revision, body },
                     (Some(body), false) => Answer::Conflict { revision: *revision, body },
                     (None, _) => Answer::Refused,
                 };
-                holder.answered(now, NO, answer, wished).expect("as written");
+                holder.council_answered(now, NO, answer, wished).expect("as written");
             }
             Says::Renew(_) | Says::Release(_) => {}
         });
@@ -185,7 +185,7 @@
 
     fn acts(&self, clock: u32) -> Vec<Does> {
         let Node::Holder { holder, bells, lets_go, stops, .. } = self else { return vec![] };
-        let bell = (*bells > 0 && at(clock) >= holder.bell_at()).then_some(Does::Bell);
+        let bell = (*bells > 0 && at(clock) >= holder.next_deadline()).then_some(Does::Bell);
         let lets_go = lets_go.then_some(Does::LetsGo);
         bell.into_iter().chain(lets_go).chain(stops.then_some(Does::Stopped)).collect()
     }
@@ -200,18 +200,18 @@
         }
         let now = at(clock);
         self.with(out, |holder, wished| match does {
-            Does::Bell => holder.bell(now, wished),
-            Does::LetsGo => holder.aim(now, 0, wished),
-            Does::Stopped => holder.stopped(now, wished),
+            Does::Bell => holder.handle_deadline(now, wished),
+            Does::LetsGo => holder.set_target(now, 0, wished),
+            Does::Stopped => holder.finish_shrink(now, wished),
         });
     }
 
     /// Renewals are in memory only. A lost disk is taken back from the others, and so is what was accepted.
     fn restart(&mut self, clock: u32, memory: Memory) {
         if let Node::Councillor { terms, renewals, .. } = self {
-            *renewals = Renewals::born(at(clock), terms.clone());
+            *renewals = LeaseGrants::new(at(clock), terms.clone());
             if memory == Memory::Lost {
-                renewals.recovered(at(clock));
+                renewals.restart_quiet_period(at(clock));
             }
         }
     }
--- a/model-checker/tests/registers/node.rs
+++ b/model-checker/tests/registers/node.rs
@@ -9,7 +9,7 @@
     Change, Councillor, Guards, Key, Memory, Message, Open, Outcome, Record, Stored, Terms, Token, Value,
     Wishes,
 };
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 use ottersail_model_checker::net::{self, Machine, Out};
 use ottersail_model_checker::print_of;
 
@@ -88,7 +88,7 @@
 
 fn terms(me: usize, life: u64, size: usize) -> Terms {
     let all: Vec<MemberId> = (0..size).map(id).collect();
-    Terms::new(id(me), Life(life), &all, 1)
+    Terms::new(id(me), InstanceId(life), &all, 1)
 }
 
 impl Node {
--- a/net/src/client.rs
+++ b/net/src/client.rs
@@ -8,8 +8,8 @@
 pub use failure::Failure;
 pub use kept::Events;
 
-use crate::body::{whole, Body};
-use crate::exec::Exec;
+use crate::body::{full_body, Body};
+use crate::exec::Executor;
 use crate::socket::Stream;
 use crate::timer::Timer;
 use bytes::Bytes;
@@ -35,7 +35,7 @@
 
 /// Connections are kept for the next exchange with the same address; dropping an exchange closes its own.
 pub struct Client {
-    exec: Exec,
+    exec: Executor,
     connect: Duration,
     /// Idle connections kept to one address, and for how long.
     keep: usize,
@@ -45,7 +45,7 @@
 }
 
 impl Client {
-    pub fn new(exec: Exec, connect: Duration, keep: usize, keep_for: Duration) -> Client {
+    pub fn new(exec: Executor, connect: Duration, keep: usize, keep_for: Duration) -> Client {
         Client { exec, connect, keep, keep_for, resets: false, idle: RefCell::new(HashMap::new()) }
     }
 
@@ -179,7 +179,7 @@
 
 /// A request without a body.
 pub(crate) fn bare(method: Method, address: &str, path: &str) -> Request<Body> {
-    let mut request = Request::new(whole(Bytes::new()));
+    let mut request = Request::new(full_body(Bytes::new()));
     *request.method_mut() = method;
     // A path that is no path becomes the root, which nobody serves.
     *request.uri_mut() = path.parse().unwrap_or_default();
--- a/net/src/exec.rs
+++ b/net/src/exec.rs
@@ -3,9 +3,9 @@
 use async_executor::LocalExecutor;
 
 /// The executor of a thread; it lives as long as the process.
-pub type Exec = &'static LocalExecutor<'static>;
+pub type Executor = &'static LocalExecutor<'static>;
 
 /// An executor for the calling thread.
-pub fn executor() -> Exec {
+pub fn executor() -> Executor {
     Box::leak(Box::new(LocalExecutor::new()))
 }
--- a/net/src/nursery.rs
+++ b/net/src/nursery.rs
@@ -1,4 +1,4 @@
-use crate::exec::Exec;
+use crate::exec::Executor;
 use async_executor::Task;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -9,10 +9,10 @@
 /// Tasks that belong together, as those of one process do: they can be ended all at once, which closes their
 /// sockets, or held still.
 #[derive(Clone)]
-pub struct Nursery(Rc<Inner>);
+pub struct TaskGroup(Rc<Inner>);
 
 struct Inner {
-    exec: Exec,
+    exec: Executor,
     still: Cell<bool>,
     asleep: RefCell<Vec<Waker>>,
     tasks: RefCell<Vec<Task<()>>>,
@@ -20,9 +20,9 @@
     sweep_at: Cell<usize>,
 }
 
-impl Nursery {
-    pub fn new(exec: Exec) -> Nursery {
-        Nursery(Rc::new(Inner {
+impl TaskGroup {
+    pub fn new(exec: Executor) -> TaskGroup {
+        TaskGroup(Rc::new(Inner {
             exec,
             still: Cell::new(false),
             asleep: RefCell::default(),
@@ -43,17 +43,17 @@
     }
 
     /// Ends all tasks. It may be called by one of them, which then runs to its next wait.
-    pub fn end(&self) {
+    pub fn cancel_all(&self) {
         let tasks = std::mem::take(&mut *self.0.tasks.borrow_mut());
         drop(tasks);
     }
 
-    /// No task goes on until [`Nursery::go_on`]; what comes in waits.
-    pub fn hold_still(&self) {
+    /// No task goes on until [`TaskGroup::resume`]; what comes in waits.
+    pub fn pause(&self) {
         self.0.still.set(true);
     }
 
-    pub fn go_on(&self) {
+    pub fn resume(&self) {
         self.0.still.set(false);
         self.0.asleep.borrow_mut().drain(..).for_each(Waker::wake);
     }
--- a/net/src/reactor.rs
+++ b/net/src/reactor.rs
@@ -6,7 +6,7 @@
 pub(crate) use sources::{Side, Source};
 
 use crate::trouble::NoReactor;
-use ottersail_cores::Bell;
+use ottersail_cores::WakeFlag;
 use rustix::event::{epoll, eventfd, EventfdFlags, Timespec};
 use rustix::fd::{AsFd, OwnedFd};
 use sources::Sources;
@@ -41,7 +41,7 @@
 }
 
 struct Wakes {
-    bell: Bell,
+    bell: WakeFlag,
     wire: OwnedFd,
 }
 
@@ -51,7 +51,7 @@
     }
 
     fn wake_by_ref(self: &Arc<Self>) {
-        if self.bell.ring() {
+        if self.bell.notify() {
             // It fails only if the count is full, and then the thread is woken anyway.
             _ = rustix::io::write(&self.wire, &1u64.to_ne_bytes());
         }
@@ -83,7 +83,7 @@
             Some(&none),
         )?;
         Ok(Reactor {
-            wakes: Arc::new(Wakes { bell: Bell::new(), wire }),
+            wakes: Arc::new(Wakes { bell: WakeFlag::new(), wire }),
             sources: Rc::new(Sources::new(epoll)),
             timers: RefCell::default(),
             next_timer: Cell::new(THREADS.fetch_add(1, Ordering::Relaxed) << 40),
@@ -151,13 +151,13 @@
         // Interrupted: as if nothing had come.
         _ = epoll::wait(self.sources.epoll(), rustix::buffer::spare_capacity(&mut events), most.as_ref());
         // Before anyone is woken, so that this thread's own wakes cost no call.
-        self.wakes.bell.gets_up();
+        self.wakes.bell.end_sleep();
         self.sources.wake(&events);
     }
 }
 
 /// How long this thread has waited in all with nothing to do.
-pub fn slept() -> Duration {
+pub fn idle_time() -> Duration {
     reactor().map_or(Duration::ZERO, |it| it.slept.get())
 }
 
@@ -174,11 +174,11 @@
         }
         let next = reactor.ring_timers();
         // There is more to do: sockets are looked at in passing.
-        if wakes.bell.heard() {
+        if wakes.bell.take_notification() {
             reactor.wait(Some(Duration::ZERO));
             continue;
         }
-        let sleeps = wakes.bell.lies_down();
+        let sleeps = wakes.bell.begin_sleep();
         if sleeps {
             let began = Instant::now();
             reactor.wait(next);
@@ -187,6 +187,6 @@
             reactor.wait(Some(Duration::ZERO));
         }
         reactor.ring_timers();
-        wakes.bell.heard();
+        wakes.bell.take_notification();
     }
 }
--- a/net/src/server.rs
+++ b/net/src/server.rs
@@ -1,5 +1,5 @@
 use crate::body::Body;
-use crate::nursery::Nursery;
+use crate::nursery::TaskGroup;
 use crate::socket::{Listener, Stream};
 use crate::timer::{Timer, Timers};
 use futures_lite::AsyncWriteExt;
@@ -21,12 +21,12 @@
     /// Connections at once; one more is answered 503 at once and closed.
     pub connections: usize,
     /// A request's head must come within this time, from the connection's start or the last answer on.
-    pub head: Duration,
+    pub head_timeout: Duration,
 }
 
 /// What all who serve the connections of a listener share, on one thread or several.
 #[derive(Debug, Default)]
-pub struct Server {
+pub struct ConnectionCounts {
     open: AtomicUsize,
     turned_away: AtomicU64,
 }
@@ -48,18 +48,18 @@
 /// Accepts connections for ever and serves them. A handler's future is dropped when its client closes the
 /// connection.
 pub async fn serve<H, F>(
-    nursery: Nursery,
+    nursery: TaskGroup,
     listener: Listener,
     limits: Limits,
-    server: Arc<Server>,
+    server: Arc<ConnectionCounts>,
     handler: H,
 ) where
-    H: Fn(Request<Incoming>, Line) -> F + Clone + 'static,
+    H: Fn(Request<Incoming>, ConnectionHandle) -> F + Clone + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
     let on = nursery.clone();
     accept(nursery, listener, limits, server, move |accepted| {
-        serve_one(&on, accepted, limits, handler.clone(), || ());
+        serve_connection(&on, accepted, limits, handler.clone(), || ());
         Ok(())
     })
     .await;
@@ -67,10 +67,10 @@
 
 /// Accepts connections for ever and hands each on; one that is handed back is answered 503.
 pub async fn accept(
-    nursery: Nursery,
+    nursery: TaskGroup,
     listener: Listener,
     limits: Limits,
-    server: Arc<Server>,
+    server: Arc<ConnectionCounts>,
     mut hand_on: impl FnMut(Accepted) -> Result<(), Accepted>,
 ) {
     // When file descriptors run out, this one is given up for as long as it takes to say so to the next
@@ -115,21 +115,21 @@
 }
 
 /// Serves a connection until it closes, and then calls `closed`.
-pub fn serve_one<H, F>(
-    nursery: &Nursery,
+pub fn serve_connection<H, F>(
+    nursery: &TaskGroup,
     accepted: Accepted,
     limits: Limits,
     handler: H,
     closed: impl FnOnce() + 'static,
 ) where
-    H: Fn(Request<Incoming>, Line) -> F + 'static,
+    H: Fn(Request<Incoming>, ConnectionHandle) -> F + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
     let Accepted { stream, peer, held } = accepted;
     let Ok(stream) = Stream::new(stream) else {
         return;
     };
-    let line = Line { socket: stream.share(), peer };
+    let line = ConnectionHandle { socket: stream.share(), peer };
     let service = service_fn(move |request| {
         let answer = handler(request, line.clone());
         async move { Ok::<_, Infallible>(answer.await) }
@@ -137,7 +137,7 @@
     nursery.spawn(async move {
         let _held = held;
         let mut builder = hyper::server::conn::http1::Builder::new();
-        builder.timer(Timers).header_read_timeout(limits.head).max_buf_size(64 * 1024);
+        builder.timer(Timers).header_read_timeout(limits.head_timeout).max_buf_size(64 * 1024);
         if let Err(trouble) = builder.serve_connection(FuturesIo::new(stream), service).await {
             debug!(%peer, %trouble, "connection");
         }
@@ -147,12 +147,12 @@
 
 /// A connection, as its handler sees it: by a clone another thread may end it in the handler's place.
 #[derive(Clone)]
-pub struct Line {
+pub struct ConnectionHandle {
     socket: Arc<TcpStream>,
     pub peer: SocketAddr,
 }
 
-impl Line {
+impl ConnectionHandle {
     /// Writes an answer past the one who serves the connection, and closes it. To be done only by who has won
     /// the right to answer; whoever serves it writes nothing more.
     pub fn answer_and_close(&self, bytes: &[u8]) -> std::io::Result<()> {
@@ -163,10 +163,10 @@
     }
 }
 
-struct Held(Arc<Server>);
+struct Held(Arc<ConnectionCounts>);
 
 impl Held {
-    fn new(server: &Arc<Server>) -> Held {
+    fn new(server: &Arc<ConnectionCounts>) -> Held {
         server.open.fetch_add(1, Ordering::Relaxed);
         Held(server.clone())
     }
@@ -178,8 +178,8 @@
     }
 }
 
-impl Server {
-    pub fn new() -> Arc<Server> {
+impl ConnectionCounts {
+    pub fn new() -> Arc<ConnectionCounts> {
         Arc::default()
     }
 
@@ -194,7 +194,7 @@
     }
 }
 
-fn turn_away(nursery: &Nursery, stream: TcpStream) {
+fn turn_away(nursery: &TaskGroup, stream: TcpStream) {
     let Ok(mut stream) = Stream::new(stream) else {
         return;
     };
--- a/net/src/socket.rs
+++ b/net/src/socket.rs
@@ -1,7 +1,7 @@
 //! Sockets that wait on the thread that made them.
 
 use crate::reactor::{reactor, Reactor, Side, Source};
-use crate::trouble::ThreadEnds;
+use crate::trouble::ThreadShuttingDown;
 use futures_lite::{AsyncRead, AsyncWrite};
 use std::future::poll_fn;
 use std::io::{self, ErrorKind, Read, Write};
@@ -12,7 +12,7 @@
 use std::task::{Context, Poll};
 
 fn here() -> io::Result<Rc<Reactor>> {
-    reactor().ok_or_else(|| io::Error::other(ThreadEnds::here()))
+    reactor().ok_or_else(|| io::Error::other(ThreadShuttingDown::here()))
 }
 
 /// Does it now, or waits for the next event on that side.
--- a/net/src/trouble.rs
+++ b/net/src/trouble.rs
@@ -6,13 +6,13 @@
 /// A socket was wanted by a thread that is at its end; it comes inside an [`io::Error`].
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("thread {thread:?} ends and can watch no more sockets; open them on a thread that still runs")]
-pub struct ThreadEnds {
+pub struct ThreadShuttingDown {
     pub thread: String,
 }
 
-impl ThreadEnds {
-    pub(crate) fn here() -> ThreadEnds {
-        ThreadEnds { thread: this_thread() }
+impl ThreadShuttingDown {
+    pub(crate) fn here() -> ThreadShuttingDown {
+        ThreadShuttingDown { thread: this_thread() }
     }
 }
 
@@ -52,7 +52,7 @@
     #[test_case(&Failure::NotSent { address: at() }, "127.0.0.1:80", "ulimit -n"; "not sent")]
     #[test_case(&Failure::Lost { address: at() }, "127.0.0.1:80", "see the log"; "lost")]
     #[test_case(&Failure::TooLarge { address: at(), most: 9 }, "127.0.0.1:80", "right service"; "too large")]
-    #[test_case(&ThreadEnds { thread: "core-1".into() }, "core-1", "still runs"; "a thread that ends")]
+    #[test_case(&ThreadShuttingDown { thread: "core-1".into() }, "core-1", "still runs"; "a thread that ends")]
     #[test_case(&NoReactor { thread: "core-2".into(), cause: io::ErrorKind::Unsupported.into() },
         "core-2", "5.11"; "no reactor")]
     fn each_says_where_and_what_to_try(trouble: &dyn std::error::Error, place: &str, advice: &str) {
--- a/register/examples/keeps.rs
+++ b/register/examples/keeps.rs
@@ -3,12 +3,12 @@
 use std::sync::atomic::Ordering;
 use std::time::Instant;
 
-use ottersail_consensus::{Ballot, Key, Life, MemberId, Memory, Record, Register, RequestId, Value};
+use ottersail_consensus::{Ballot, InstanceId, Key, MemberId, Memory, Record, Register, RequestId, Value};
 use ottersail_register::{RegisterError, Store};
 
 fn record(number: u64) -> Record {
-    let ballot = Ballot { number, proposer: MemberId(1), life: Life(2) };
-    let by = RequestId { member: MemberId(1), life: Life(2), number };
+    let ballot = Ballot { number, proposer: MemberId(1), life: InstanceId(2) };
+    let by = RequestId { member: MemberId(1), life: InstanceId(2), number };
     let value = Value { revision: number, by, body: vec![7; 100] };
     let key = Key::Order((number % 1000) as u16);
     Record::Register(key, Register { promised: ballot, accepted: Some((ballot, value)) })
--- a/register/src/tests/mod.rs
+++ b/register/src/tests/mod.rs
@@ -5,7 +5,7 @@
 mod kill;
 mod plain;
 
-use ottersail_consensus::{Ballot, Key, Life, MemberId, Memory, Record, Register, RequestId, Value};
+use ottersail_consensus::{Ballot, InstanceId, Key, MemberId, Memory, Record, Register, RequestId, Value};
 use tempfile::TempDir;
 
 pub(crate) const FRESH: Memory = Memory(0xabc);
@@ -16,8 +16,8 @@
 
 /// A promise and an accepted value of that number.
 pub(crate) fn record(slot: u8, number: u64) -> Record {
-    let ballot = Ballot { number, proposer: MemberId(1), life: Life(2) };
-    let by = RequestId { member: MemberId(1), life: Life(2), number };
+    let ballot = Ballot { number, proposer: MemberId(1), life: InstanceId(2) };
+    let by = RequestId { member: MemberId(1), life: InstanceId(2), number };
     let value = Value { revision: number, by, body: vec![slot; 100] };
     Record::Register(Key::Slots(slot), Register { promised: ballot, accepted: Some((ballot, value)) })
 }
--- a/rollout/src/book.rs
+++ b/rollout/src/book.rs
@@ -2,7 +2,7 @@
 //! permits of a kind lie in one register, so that their count is a matter of one value.
 
 use crate::order::{Name, Serial};
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 use serde::{Deserialize, Serialize};
 
 const VERSION: u8 = 1;
@@ -19,7 +19,7 @@
 pub struct Permit {
     pub member: MemberId,
     /// The life that may go; another one of the same name may not.
-    pub life: Life,
+    pub life: InstanceId,
     /// When that life told that it stands whole; the permit may be used for `use_ms` after this, by its own
     /// clock.
     pub asked: Stamp,
--- a/rollout/src/conductor.rs
+++ b/rollout/src/conductor.rs
@@ -10,7 +10,7 @@
 use crate::watch::Watch;
 use crate::wishes::{Outcome, Wishes};
 use ottersail::time::Ms;
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Periods that a proposal may stay unanswered.
@@ -25,9 +25,9 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Known {
     pub name: Name,
-    pub life: Life,
+    pub life: InstanceId,
     /// The life seen before that one.
-    pub before: Option<Life>,
+    pub before: Option<InstanceId>,
     /// Since when the roster has it no more.
     pub gone: Option<Ms>,
 }
@@ -122,7 +122,7 @@
         self.soon(now);
     }
 
-    pub fn stand(&mut self, now: Ms, from: MemberId, life: Life, stand: &Stand) {
+    pub fn stand(&mut self, now: Ms, from: MemberId, life: InstanceId, stand: &Stand) {
         if self.sights.stand(now, from, life, stand) {
             self.soon(now);
         }
--- a/rollout/src/evidence.rs
+++ b/rollout/src/evidence.rs
@@ -15,7 +15,7 @@
 
 use crate::order::Halts;
 use crate::stand::Counts;
-use crate::{Life, MemberId};
+use crate::{InstanceId, MemberId};
 use fit::Fit;
 use std::collections::BTreeMap;
 use sum::Sum;
@@ -35,7 +35,7 @@
 /// What a member that is whole has told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Told {
-    pub life: Life,
+    pub life: InstanceId,
     /// It is of the version ordered.
     pub released: bool,
     /// Since that life began, not since the last look.
--- a/rollout/src/evidence/tests/fleet.rs
+++ b/rollout/src/evidence/tests/fleet.rs
@@ -4,7 +4,7 @@
 use crate::evidence::{Evidence, Told, What};
 use crate::order::Halts;
 use crate::stand::Counts;
-use crate::{Life, MemberId};
+use crate::{InstanceId, MemberId};
 use fastrand::Rng;
 use std::collections::BTreeMap;
 
@@ -140,7 +140,7 @@
     pub fn told(&self) -> BTreeMap<MemberId, Told> {
         let whole = self.fleet.iter().enumerate().filter(|it| it.1.released.is_none_or(|at| at >= 0));
         let told = whole.map(|(at, it)| {
-            let (released, life) = (it.released.is_some(), Life(it.life));
+            let (released, life) = (it.released.is_some(), InstanceId(it.life));
             let counts = if self.liars.contains(&at) { self.lie(it.counts) } else { it.counts };
             (MemberId(at as u64), Told { life, released, counts })
         });
--- a/rollout/src/evidence/track.rs
+++ b/rollout/src/evidence/track.rs
@@ -2,7 +2,7 @@
 
 use super::{median, sum::Sum, Told, FEWEST};
 use crate::stand::Counts;
-use crate::{Life, MemberId};
+use crate::{InstanceId, MemberId};
 use std::collections::BTreeMap;
 
 /// Of one member, no more viewings count than so many times the median's. Symptom guarded against: one that tells
@@ -21,7 +21,7 @@
 
 #[derive(Clone, Debug)]
 struct Track {
-    life: Life,
+    life: InstanceId,
     last: Counts,
     released: bool,
     /// Before its release; none if it is not released.
--- a/rollout/src/holder.rs
+++ b/rollout/src/holder.rs
@@ -7,7 +7,7 @@
 use crate::stand::{Counts, Stand};
 use crate::wishes::Wishes;
 use ottersail::time::Ms;
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 
 /// Periods between two stands while nothing changes.
 const STAND_EVERY: f64 = 2.0;
@@ -24,7 +24,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Holder {
-    me: (MemberId, Life),
+    me: (MemberId, InstanceId),
     born: Ms,
     version: Name,
     period: Ms,
@@ -40,11 +40,11 @@
 }
 
 impl Holder {
-    pub fn born(now: Ms, me: (MemberId, Life), version: Name, period: Ms) -> Holder {
+    pub fn born(now: Ms, me: (MemberId, InstanceId), version: Name, period: Ms) -> Holder {
         Holder::guarded(now, me, version, period, Guards::all())
     }
 
-    pub fn guarded(now: Ms, me: (MemberId, Life), version: Name, period: Ms, guards: Guards) -> Holder {
+    pub fn guarded(now: Ms, me: (MemberId, InstanceId), version: Name, period: Ms, guards: Guards) -> Holder {
         let (order, book, never, going) = (None, Default::default(), Stamp(0), None);
         let (whole, counts) = (false, Counts::default());
         let tell_at = now;
--- a/rollout/src/lib.rs
+++ b/rollout/src/lib.rs
@@ -32,7 +32,7 @@
 pub use notes::Note;
 pub use order::{Bounds, Fault, Halts, Name, Order, Serial, State, Step, Who};
 pub use ottersail::time::Ms;
-pub use ottersail_membership::{Life, MemberId};
+pub use ottersail_membership::{InstanceId, MemberId};
 pub use refusal::Refusal;
 pub use seen::{Presence, Seen};
 pub use serials::{answered, given, stopped, Answered, Given, Held};
--- a/rollout/src/seen.rs
+++ b/rollout/src/seen.rs
@@ -5,7 +5,7 @@
 use crate::order::Name;
 use crate::stand::Stand;
 use ottersail::time::Ms;
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 use std::collections::BTreeMap;
 
 /// A stand counts for so many periods: holders tell one every two, so three in a row may be lost.
@@ -22,7 +22,7 @@
 /// What the members' roster says of one that lives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seen {
-    pub life: Life,
+    pub life: InstanceId,
     pub name: Name,
     pub zone: Option<Name>,
     pub state: Presence,
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Sight {
     pub stand: Stand,
-    life: Life,
+    life: InstanceId,
     /// When it was told, by the clock here: the time of receipt, less what it came later than the quickest.
     pub heard: Ms,
     whole_since: Option<Ms>,
@@ -59,7 +59,7 @@
     }
 
     /// Whether that says anything new of a life that the roster knows.
-    pub fn stand(&mut self, now: Ms, from: MemberId, life: Life, stand: &Stand) -> bool {
+    pub fn stand(&mut self, now: Ms, from: MemberId, life: InstanceId, stand: &Stand) -> bool {
         if self.roster.get(&from).is_none_or(|it| it.life != life) {
             return false;
         }
@@ -91,7 +91,7 @@
     }
 
     /// The last word of that life, however old.
-    pub fn told(&self, member: MemberId, life: Life) -> Option<&Stand> {
+    pub fn told(&self, member: MemberId, life: InstanceId) -> Option<&Stand> {
         self.sights.get(&member).filter(|it| it.life == life).map(|it| &it.stand)
     }
 
--- a/rollout/src/tests/carry.rs
+++ b/rollout/src/tests/carry.rs
@@ -60,16 +60,16 @@
 
     /// At each point between permit and return.
     pub fn mishap(&mut self, node: usize) {
-        if self.chance.part() < self.ill.killed {
+        if self.chance.fraction() < self.ill.killed {
             self.kill(node, true);
-        } else if self.chance.part() < self.ill.stopped {
-            self.nodes[node].paused_until = self.now + Ms(self.chance.part() * 12e3);
+        } else if self.chance.fraction() < self.ill.stopped {
+            self.nodes[node].paused_until = self.now + Ms(self.chance.fraction() * 12e3);
         }
     }
 
     pub fn say(&mut self, node: usize, says: Vec<Say>) {
         let accepts = says.iter().any(|it| matches!(it, Say::To(_, Round::Accept(..))));
-        let half = accepts && self.chance.part() < self.ill.half;
+        let half = accepts && self.chance.fraction() < self.ill.half;
         let only = self.chance.below(self.councillors);
         if half {
             self.nodes[node].paused_until = self.now + Ms(10e3);
--- a/rollout/src/tests/conducting.rs
+++ b/rollout/src/tests/conducting.rs
@@ -83,7 +83,7 @@
             let counts = Counts { asked: 20 * second, blocked: bad, ..Counts::default() };
             let version = if released { go().version } else { go().before };
             let told = Stand { counts, version, ..stand(second * 1_000) };
-            conductor.stand(Ms(now), id(*member), Life(1), &told);
+            conductor.stand(Ms(now), id(*member), InstanceId(1), &told);
         }
         halted = halted.or(bell(&mut conductor, now + 200.0).halts.pop());
     }
@@ -102,7 +102,7 @@
     conductor.ordered(Ms(13e3), 9, &order);
     for member in ALL {
         let version = if *member == 8 { order.before.clone() } else { order.version.clone() };
-        conductor.stand(Ms(13e3), id(*member), Life(1), &Stand { version, order: 9, ..stand(13_000) });
+        conductor.stand(Ms(13e3), id(*member), InstanceId(1), &Stand { version, order: 9, ..stand(13_000) });
     }
     let mut books = 0;
     for look in 0..20_u32 {
--- a/rollout/src/tests/histories.rs
+++ b/rollout/src/tests/histories.rs
@@ -3,7 +3,7 @@
 use super::judge::Judge;
 use super::world::*;
 use crate::*;
-use ottersail_membership::chance::Chance;
+use ottersail_membership::rng::SeededRng;
 use test_case::test_case;
 
 /// By v1, v2 and v3; v3 never gets ready in some histories.
@@ -71,7 +71,7 @@
                 world.kill(it, true);
             }
         }),
-        1 | 2 => world.nodes[one].paused_until = world.now + Ms(world.chance.part() * 12e3),
+        1 | 2 => world.nodes[one].paused_until = world.now + Ms(world.chance.fraction() * 12e3),
         3 => world.nodes[one % world.councillors].paused_until = world.now + Ms(10e3),
         4 => drop(world.cut.insert((one, other))),
         5 => world.cut.extend((0..members).map(|it| (it, one % world.councillors)).filter(|it| it.0 != it.1)),
@@ -103,7 +103,7 @@
 }
 
 fn born(seed: u64, guards: Guards) -> (World, Operator) {
-    let mut chance = Chance::new(seed ^ 0x5eed);
+    let mut chance = SeededRng::new(seed ^ 0x5eed);
     let members = [7, 9, 12, 18][chance.below(4)];
     let councillors = if members > 7 { [3, 5][chance.below(2)] } else { 3 };
     let most_out = 1 + chance.below(3) as u16;
@@ -129,7 +129,7 @@
 fn ill(seed: u64, guards: Guards) -> (World, Operator) {
     let (mut world, mut operator) = born(seed, guards);
     while world.now < Ms(120e3) && world.judge.broken.is_none() {
-        let next = world.now + Ms(world.chance.part() * 4e3);
+        let next = world.now + Ms(world.chance.fraction() * 4e3);
         world.run(next);
         for _ in 0..world.chance.below(3) {
             fault(&mut world, &mut operator);
--- a/rollout/src/tests/lives.rs
+++ b/rollout/src/tests/lives.rs
@@ -57,7 +57,8 @@
         let (now, guards, count) = (self.local(node), self.guards, self.councillors);
         let all: Vec<MemberId> = (0..count).map(id).collect();
         let it = &mut self.nodes[node];
-        (it.life, it.up, it.started, it.bell) = (Life(it.life.0 + 1), true, self.now, Ms(f64::INFINITY));
+        (it.life, it.up, it.started, it.bell) =
+            (InstanceId(it.life.0 + 1), true, self.now, Ms(f64::INFINITY));
         (it.version, it.known) = (version.clone(), BTreeMap::new());
         it.holder = Holder::guarded(now, (id(node), it.life), version.clone(), PERIOD, guards);
         if let Some(council) = &mut it.council {
@@ -95,10 +96,10 @@
             let hears = way(other, node) || way(other, via) && way(via, node);
             let (life, last) = self.nodes[node].heard[other];
             // News of a new life take a while; that it is suspected by error happens.
-            let known = it.life == life || self.now - it.started > Ms(2e3 * self.chance.part());
+            let known = it.life == life || self.now - it.started > Ms(2e3 * self.chance.fraction());
             let last = if it.up && it.paused_until <= self.now && hears && known { self.now } else { last };
             let life = if last == self.now { it.life } else { life };
-            let error = self.chance.part() < self.ill.loss * 0.01;
+            let error = self.chance.fraction() < self.ill.loss * 0.01;
             self.nodes[node].heard[other] = (life, last);
             let state = if self.now - last < Ms(3e3) && !error { Presence::Alive } else { Presence::Suspect };
             if self.now - last < Ms(6e3) {
--- a/rollout/src/tests/tables.rs
+++ b/rollout/src/tests/tables.rs
@@ -11,7 +11,7 @@
 }
 
 pub fn permit(node: usize, asked: u64) -> Permit {
-    Permit { member: id(node), life: Life(1), asked: Stamp(asked), version: name("v2") }
+    Permit { member: id(node), life: InstanceId(1), asked: Stamp(asked), version: name("v2") }
 }
 
 pub fn book(permits: &[Permit]) -> Book {
@@ -42,7 +42,7 @@
     let full = |count: usize| {
         let permit = |it: usize| Permit {
             member: MemberId(u64::MAX - 99 + it as u64),
-            life: Life(u64::MAX),
+            life: InstanceId(u64::MAX),
             asked: Stamp(u64::MAX),
             version: long.clone(),
         };
@@ -109,7 +109,7 @@
     let mut conductor = Conductor::born(Ms(0.0), id(0), &all, PERIOD);
     let seen = |it: usize| {
         let (zone, name) = (Some(zone(it)), name(&format!("m{it}")));
-        (id(it), Seen { life: Life(1), name, zone, state: Presence::Alive })
+        (id(it), Seen { life: InstanceId(1), name, zone, state: Presence::Alive })
     };
     conductor.roster(Ms(0.0), &whole.iter().map(|it| seen(*it)).collect::<BTreeMap<_, _>>());
     for at in [10, 11, 12, 13] {
@@ -117,7 +117,7 @@
             conductor.stand(
                 Ms(f64::from(at) * 1e3),
                 id(*node),
-                Life(1),
+                InstanceId(1),
                 &stand(u64::from(at as u16) * 1_000),
             );
         }
@@ -167,9 +167,9 @@
     let mut conductor = councillor(ALL);
     assert!(allowed(&conductor, 20e3) && !allowed(&conductor, 20_001.0));
     // Seven seconds under way: told at 14 s, it counts until 21 s.
-    ALL.iter().for_each(|it| conductor.stand(Ms(21e3), id(*it), Life(1), &stand(14_000)));
+    ALL.iter().for_each(|it| conductor.stand(Ms(21e3), id(*it), InstanceId(1), &stand(14_000)));
     assert!(!allowed(&conductor, 21.5e3));
-    ALL.iter().for_each(|it| conductor.stand(Ms(21.6e3), id(*it), Life(1), &stand(21_600)));
+    ALL.iter().for_each(|it| conductor.stand(Ms(21.6e3), id(*it), InstanceId(1), &stand(21_600)));
     assert!(!allowed(&conductor, 21.7e3), "a gap: it settles anew");
 }
 
@@ -181,9 +181,9 @@
     };
     let mut conductor = councillor(ALL);
     assert!(!gives(&conductor));
-    conductor.stand(Ms(13e3), id(3), Life(1), &Stand { never: Stamp(11_999), ..stand(13_000) });
+    conductor.stand(Ms(13e3), id(3), InstanceId(1), &Stand { never: Stamp(11_999), ..stand(13_000) });
     assert!(!gives(&conductor));
-    conductor.stand(Ms(13e3), id(3), Life(1), &Stand { never: Stamp(12_000), ..stand(13_000) });
+    conductor.stand(Ms(13e3), id(3), InstanceId(1), &Stand { never: Stamp(12_000), ..stand(13_000) });
     assert!(gives(&conductor));
 }
 
@@ -205,7 +205,7 @@
 #[test_case(2_000.0, State::Halt, 1, false; "halted")]
 #[test_case(2_000.0, State::Go, 2, false; "of another life")]
 fn a_holder_goes(at: f64, state: State, life: u64, goes: bool) {
-    let mut holder = Holder::born(Ms(0.0), (id(3), Life(life)), name("v1"), PERIOD);
+    let mut holder = Holder::born(Ms(0.0), (id(3), InstanceId(life)), name("v1"), PERIOD);
     holder.whole(Ms(0.0), true);
     holder.ordered(Ms(0.0), 7, &go());
     holder.booked(Ms(1.1e3), 1, &book(&[permit(3, 1_000)]));
@@ -214,7 +214,7 @@
     holder.ordered(Ms(1.3e3), 8, &Order { state, serial: Serial(4), ..go() });
     // Whatever was asked for under another order is never used.
     assert_eq!(holder.wants_out(Ms(1.4e3)), None);
-    let mut holder = Holder::born(Ms(0.0), (id(3), Life(life)), name("v1"), PERIOD);
+    let mut holder = Holder::born(Ms(0.0), (id(3), InstanceId(life)), name("v1"), PERIOD);
     holder.ordered(Ms(0.0), 7, &Order { state, ..go() });
     holder.booked(Ms(1.1e3), 1, &book(&[permit(3, 1_000)]));
     assert_eq!(holder.still_in_time(Ms(at), &going), goes);
--- a/rollout/src/tests/world.rs
+++ b/rollout/src/tests/world.rs
@@ -4,23 +4,23 @@
 use super::council::*;
 use super::judge::Judge;
 use crate::*;
-use ottersail_membership::chance::Chance;
+use ottersail_membership::rng::SeededRng;
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const PERIOD: Ms = Ms(1e3);
 
 #[derive(Clone, Debug)]
 pub enum Body {
-    Stand(Life, Stand),
+    Stand(InstanceId, Stand),
     Round(Round),
     News(BTreeMap<Key, Value>),
     File(Order),
     Bell,
     Tick,
-    Ready(Life),
+    Ready(InstanceId),
     Start(Name),
     /// Nothing more is taken; the clock is looked at again.
-    Stopped(Life, Going),
+    Stopped(InstanceId, Going),
 }
 
 /// What goes wrong by chance; all 0 when well.
@@ -39,7 +39,7 @@
 pub struct Node {
     pub rate: f64,
     pub offset: f64,
-    pub life: Life,
+    pub life: InstanceId,
     pub version: Name,
     pub up: bool,
     pub ready: bool,
@@ -49,7 +49,7 @@
     pub conductor: Option<Conductor>,
     pub council: Option<Councillor>,
     /// Of each member, for councillors: its life and when it was heard of last.
-    pub heard: Vec<(Life, Ms)>,
+    pub heard: Vec<(InstanceId, Ms)>,
     pub bell: Ms,
     pub leaving: bool,
     pub started: Ms,
@@ -59,7 +59,7 @@
     pub now: Ms,
     pub nodes: Vec<Node>,
     pub councillors: usize,
-    pub chance: Chance,
+    pub chance: SeededRng,
     pub cut: BTreeSet<(usize, usize)>,
     pub ill: Ill,
     pub guards: Guards,
@@ -87,16 +87,16 @@
 
 impl World {
     pub fn new(seed: u64, members: usize, councillors: usize, judge: Judge, guards: Guards) -> World {
-        let mut chance = Chance::new(seed);
+        let mut chance = SeededRng::new(seed);
         let all: Vec<MemberId> = (0..councillors).map(id).collect();
         let node = |it: usize| {
-            let (rate, offset) = (0.99 + 0.02 * chance.part(), chance.part() * 1e6);
-            let (life, version, now) = (Life(it as u64 * 1_000 + 1), name("v1"), Ms(offset));
+            let (rate, offset) = (0.99 + 0.02 * chance.fraction(), chance.fraction() * 1e6);
+            let (life, version, now) = (InstanceId(it as u64 * 1_000 + 1), name("v1"), Ms(offset));
             let holder = Holder::guarded(now, (id(it), life), version.clone(), PERIOD, guards);
             let conducts = it < councillors;
             let conductor = conducts.then(|| Conductor::guarded(now, id(it), &all, PERIOD, guards));
             let council = conducts.then(|| Councillor::new(it, councillors));
-            let heard = (0..members).map(|it| (Life(it as u64 * 1_000 + 1), Ms(0.0))).collect();
+            let heard = (0..members).map(|it| (InstanceId(it as u64 * 1_000 + 1), Ms(0.0))).collect();
             Node {
                 rate,
                 offset,
@@ -132,7 +132,7 @@
             count: 0,
         };
         for node in 0..members {
-            let first = Ms(world.chance.part() * 500.0);
+            let first = Ms(world.chance.fraction() * 500.0);
             world.put(first, node, node, Body::Tick);
             world.input(node, |it, now, _| it.holder.whole(now, true));
         }
@@ -145,18 +145,18 @@
     }
 
     pub fn after(&mut self, least: f64, most: f64, node: usize, body: Body) {
-        let at = self.now + Ms(least + self.chance.part() * (most - least));
+        let at = self.now + Ms(least + self.chance.fraction() * (most - least));
         self.put(at, node, node, body);
     }
 
     pub fn send(&mut self, from: usize, to: usize, body: &Body) {
-        let copies = if self.chance.part() < self.ill.twice { 2 } else { 1 };
+        let copies = if self.chance.fraction() < self.ill.twice { 2 } else { 1 };
         for _ in 0..copies {
-            if from != to && (self.cut.contains(&(from, to)) || self.chance.part() < self.ill.loss) {
+            if from != to && (self.cut.contains(&(from, to)) || self.chance.fraction() < self.ill.loss) {
                 continue;
             }
-            let slow = self.chance.part() < self.ill.slow;
-            let delay = self.chance.part() * if slow { 8e3 } else { 10.0 } + 1.0;
+            let slow = self.chance.fraction() < self.ill.slow;
+            let delay = self.chance.fraction() * if slow { 8e3 } else { 10.0 } + 1.0;
             self.put(self.now + Ms(delay), from, to, body.clone());
         }
     }
--- a/rollout/src/turn.rs
+++ b/rollout/src/turn.rs
@@ -7,7 +7,7 @@
 use crate::seen::{Seen, Sight};
 use crate::wishes::Wishes;
 use ottersail::time::Ms;
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An odd number whose multiples fill all bits (the golden ratio's).
@@ -123,7 +123,7 @@
         book: &Book,
         limit: usize,
         skip: &BTreeSet<MemberId>,
-    ) -> Option<(MemberId, Life, Stamp)> {
+    ) -> Option<(MemberId, InstanceId, Stamp)> {
         if book.permits.len() + self.through(now, order, book) >= limit {
             return None;
         }
--- a/simulation/src/parts.rs
+++ b/simulation/src/parts.rs
@@ -3,7 +3,7 @@
 //! The council itself is not modelled: a change takes until the next look.
 
 use ottersail_front::{Ms, Part};
-use ottersail_leases::{Guards, MemberId, Needs, Rider, Terms};
+use ottersail_leases::{Demand, Guards, LeaseConfig, MemberId, SlotBalancer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Slots for each manager; `docs/parts.md` says at least so many.
@@ -21,7 +21,7 @@
 
 #[derive(Debug)]
 struct Member {
-    needs: Needs,
+    needs: SlotBalancer,
     arrivals: u32,
     /// Since when each slot has been held.
     held: BTreeMap<u64, f64>,
@@ -37,7 +37,7 @@
     members: Vec<Member>,
     free: BTreeSet<u64>,
     /// What all told at earlier looks, the oldest first.
-    riders: VecDeque<BTreeMap<MemberId, Option<Rider>>>,
+    riders: VecDeque<BTreeMap<MemberId, Option<Demand>>>,
 }
 
 fn id(member: usize) -> MemberId {
@@ -50,9 +50,10 @@
         let slots = (managers * SLOTS_EACH).min(6_144) as u16;
         #[allow(clippy::default_constructed_unit_structs)]
         let guards = Guards::default();
-        let terms = Terms { slots, lease_ms: lease as u32, drift_ppm: 1_000, councillors: vec![], guards };
+        let terms =
+            LeaseConfig { slots, lease_ms: lease as u32, drift_ppm: 1_000, councillors: vec![], guards };
         let members = (0..managers).map(|it| Member {
-            needs: Needs::born(Ms(now), id(it), terms.clone()),
+            needs: SlotBalancer::new(Ms(now), id(it), terms.clone()),
             arrivals: 0,
             held: BTreeMap::new(),
             told: None,
@@ -119,10 +120,10 @@
         let mut riders = BTreeMap::new();
         for (ix, it) in self.members.iter_mut().enumerate() {
             let held = it.held.len() as u16;
-            it.needs.arrived(at, std::mem::take(&mut it.arrivals));
-            it.needs.roster(old.clone());
-            aims.push(usize::from(it.needs.aim(at, held)));
-            riders.insert(id(ix), Some(it.needs.rider(at, held)));
+            it.needs.record_arrivals(at, std::mem::take(&mut it.arrivals));
+            it.needs.set_others(old.clone());
+            aims.push(usize::from(it.needs.next_target(at, held)));
+            riders.insert(id(ix), Some(it.needs.demand(at, held)));
         }
         self.riders.push_back(riders);
         while self.riders.len() > LAG {
