--- a/membership/src/apply.rs
+++ b/membership/src/apply.rs
@@ -1,124 +1,138 @@
-//! Which news are believed: the greater (incarnation, instance, state) wins, with two guards for the living.
+//! Which updates are applied: the greater (incarnation, instance, state) wins, with two exceptions that
+//! protect running members from reports of their death.
 
 use crate::ids::{Incarnation, InstanceId};
-use crate::machine::Members;
+use crate::members::Members;
 use crate::message::{State, Update};
 use crate::peer::Peer;
 use crate::view::{Change, Effects, StateChangeReason};
 use ottersail::time::Ms;
 
-/// Within this many periods an own acknowledgement outweighs what others say of a death.
-const FRESH: f64 = 3.0;
+/// An acknowledgement within this many periods outweighs what others report of a death.
+const FRESH_ACK_PERIODS: f64 = 3.0;
+/// The longest name and the longest site that are accepted, in bytes.
+const MAX_NAME_BYTES: usize = 32;
 
 fn rank(incarnation: Incarnation, instance: InstanceId, state: State) -> (Incarnation, InstanceId, State) {
     (incarnation, instance, state)
 }
 
 impl Members {
-    pub(crate) fn apply(&mut self, now: Ms, news: &Update, in_page: bool, out: &mut dyn Effects) {
-        // Guards against pages that do not fit a datagram: names are passed on as they come.
-        if news.place.as_ref().is_some_and(|place| place.name.len() > 32 || place.site.len() > 32) {
+    /// Applies an update; `in_page` says that it came in a page of a full exchange.
+    pub(crate) fn apply(&mut self, now: Ms, update: &Update, in_page: bool, effects: &mut dyn Effects) {
+        // Names are passed on as received, so longer ones would make pages that do not fit a datagram.
+        if update
+            .info
+            .as_ref()
+            .is_some_and(|info| info.name.len() > MAX_NAME_BYTES || info.site.len() > MAX_NAME_BYTES)
+        {
             self.counters.unexpected += 1;
             return;
         }
-        if news.about == self.terms.local.id {
-            return self.told_of_me(now, news, out);
+        if update.member == self.config.local.id {
+            return self.handle_update_about_self(update, effects);
         }
-        let Some(peer) = self.peers.get(&news.about) else { return self.newcomer(now, news, in_page, out) };
-        let known = &peer.known;
-        let held = rank(known.incarnation, known.instance, known.state);
-        let told = rank(news.incarnation, news.instance, news.state);
-        let same_life = known.instance == news.instance;
-        if told <= held {
-            if told == held && news.state == State::Suspect {
-                self.confirm(now, news, out);
-            } else if told == held {
-                self.heard_again(news.about);
+        let Some(peer) = self.peers.get(&update.member) else {
+            return self.add_member(now, update, in_page, effects);
+        };
+        let view = &peer.view;
+        let current = rank(view.incarnation, view.instance, view.state);
+        let reported = rank(update.incarnation, update.instance, update.state);
+        let same_instance = view.instance == update.instance;
+        if reported <= current {
+            if reported == current && update.state == State::Suspect {
+                self.confirm(now, update);
+            } else if reported == current {
+                self.count_redundant(update.member);
             }
             return;
         }
-        // Guards against one that does not hear a member burying it for those that do; and against halves
-        // that meet again burying one another's living.
-        let fresh = now - peer.acked < self.terms.probe_period * FRESH;
-        let doubted = news.state == State::Dead && known.state <= State::Suspect && same_life;
-        match news.state {
-            State::Alive => self.believe_alive(now, news, out),
+        // A report of a death only starts a suspicion here in two cases: this member had a recent answer, so
+        // that one member that does not hear the other can't declare it dead for those that do; or the report
+        // comes in a page, so that two rejoined halves of a partition do not take over each other's deaths.
+        let fresh = now - peer.last_ack < self.config.probe_period * FRESH_ACK_PERIODS;
+        let contested = update.state == State::Dead && view.state <= State::Suspect && same_instance;
+        match update.state {
+            State::Alive => self.apply_alive(now, update, effects),
             State::Suspect => {
-                self.take_incarnation(news);
-                self.suspect(now, news.about, news.by, out);
+                self.copy_incarnation(update);
+                self.suspect(now, update.member, update.reported_by, effects);
             }
-            State::Dead if doubted && (in_page || fresh) => {
-                self.take_incarnation(news);
-                self.suspect(now, news.about, news.by, out);
+            State::Dead if contested && (in_page || fresh) => {
+                self.copy_incarnation(update);
+                self.suspect(now, update.member, update.reported_by, effects);
                 if fresh {
-                    self.probe(now, news.about, out);
+                    self.probe(now, update.member, effects);
                 }
             }
             State::Dead | State::Left => {
-                self.take_incarnation(news);
-                self.spread(news.clone());
-                self.set_state(now, news.about, news.state, StateChangeReason::Reported, out);
+                self.copy_incarnation(update);
+                self.queue_update(update.clone());
+                self.set_state(now, update.member, update.state, StateChangeReason::Reported, effects);
             }
         }
     }
 
-    fn take_incarnation(&mut self, news: &Update) {
-        if let Some(peer) = self.peers.get_mut(&news.about) {
-            peer.known.incarnation = news.incarnation;
-            if peer.known.instance != news.instance {
-                peer.known.instance = news.instance;
+    fn copy_incarnation(&mut self, update: &Update) {
+        if let Some(peer) = self.peers.get_mut(&update.member) {
+            peer.view.incarnation = update.incarnation;
+            if peer.view.instance != update.instance {
+                peer.view.instance = update.instance;
                 peer.suspicion = None;
-                self.suspects.remove(&news.about);
-                if let Some(place) = &news.place {
-                    peer.known.address = place.address;
+                self.suspects.remove(&update.member);
+                if let Some(info) = &update.info {
+                    peer.view.address = info.address;
                 }
             }
         }
     }
 
-    fn believe_alive(&mut self, now: Ms, news: &Update, out: &mut dyn Effects) {
-        let Some(place) = &news.place else { return };
-        let Some(peer) = self.peers.get_mut(&news.about) else { return };
-        let other_life = peer.known.instance != news.instance;
-        peer.known.incarnation = news.incarnation;
-        peer.known.instance = news.instance;
-        peer.known.address = place.address;
-        peer.known.site.clone_from(&place.site);
-        if other_life {
-            peer.known.piggybacks.clear();
-            (peer.acked, peer.heard) = (Ms::LONG_AGO, Ms::LONG_AGO);
+    fn apply_alive(&mut self, now: Ms, update: &Update, effects: &mut dyn Effects) {
+        let Some(info) = &update.info else { return };
+        let Some(peer) = self.peers.get_mut(&update.member) else { return };
+        let other_instance = peer.view.instance != update.instance;
+        peer.view.incarnation = update.incarnation;
+        peer.view.instance = update.instance;
+        peer.view.address = info.address;
+        peer.view.site.clone_from(&info.site);
+        if other_instance {
+            peer.view.piggybacks.clear();
+            (peer.last_ack, peer.last_heard) = (Ms::LONG_AGO, Ms::LONG_AGO);
         }
-        self.spread(news.clone());
-        let why = if other_life { StateChangeReason::Joined } else { StateChangeReason::Refuted };
-        self.set_state(now, news.about, State::Alive, why, out);
+        self.queue_update(update.clone());
+        let reason = if other_instance { StateChangeReason::Joined } else { StateChangeReason::Refuted };
+        self.set_state(now, update.member, State::Alive, reason, effects);
     }
 
-    /// The dead are taken in as well: each that knows them can call them.
-    fn newcomer(&mut self, now: Ms, news: &Update, in_page: bool, out: &mut dyn Effects) {
-        let Some(place) = &news.place else { return };
-        if self.peers.len() >= self.terms.max_members {
+    /// Adds a member that was not known. Dead members are added too, so that every member that knows of them
+    /// can contact them.
+    fn add_member(&mut self, now: Ms, update: &Update, in_page: bool, effects: &mut dyn Effects) {
+        let Some(info) = &update.info else { return };
+        if self.peers.len() >= self.config.max_members {
             self.counters.unexpected += 1;
             return;
         }
-        let mut peer = Peer::new(now, news, place);
-        if peer.up() {
-            self.living.push(news.about);
+        let mut peer = Peer::new(now, update, info);
+        if peer.is_up() {
+            self.up_members.push(update.member);
         }
-        if peer.known.state == State::Suspect {
-            peer.known.state = State::Alive;
+        if peer.view.state == State::Suspect {
+            peer.view.state = State::Alive;
         }
-        self.peers.insert(news.about, peer);
-        let at = self.chance.below(self.round.len() + 1);
-        self.round.insert(at, news.about);
-        // What stands in a page is known already: one that comes in would tell everybody of everybody.
+        self.peers.insert(update.member, peer);
+        let position = self.rng.below(self.probe_order.len() + 1);
+        self.probe_order.insert(position, update.member);
+        // What comes in a page is known to others already: a member that joins would otherwise gossip about
+        // the whole cluster.
         if !in_page {
-            self.spread(news.clone());
+            self.queue_update(update.clone());
         }
-        let name = place.name.clone();
-        let is = self.peers[&news.about].known.state;
-        self.note(Change::State { id: news.about, name, was: None, is, why: StateChangeReason::Joined }, out);
-        if news.state == State::Suspect {
-            self.suspect(now, news.about, news.by, out);
+        let name = info.name.clone();
+        let is = self.peers[&update.member].view.state;
+        let why = StateChangeReason::Joined;
+        self.report(Change::State { id: update.member, name, was: None, is, why }, effects);
+        if update.state == State::Suspect {
+            self.suspect(now, update.member, update.reported_by, effects);
         }
     }
 }
--- a/membership/src/auth/cookie.rs
+++ b/membership/src/auth/cookie.rs
@@ -1,19 +1,19 @@
-//! The stateless challenge to a instance that is not known: a cookie, to be echoed (as in Eastlake, Andrews
-//! 2016, RFC 7873, DNS cookies).
+//! The stateless challenge to an instance that is not known: a cookie that it has to echo (as DNS cookies do,
+//! Eastlake, Andrews 2016, RFC 7873).
 
-use super::frame::{mac_of, Sha};
+use super::frame::{mac_of, HmacSha256};
 use crate::{InstanceId, MemberId};
 use hmac::Mac;
 use ottersail::time::Ms;
 
-/// A cookie counts in the tick it was made in and in the next.
-pub const TICK: Ms = Ms(5_000.0);
+/// A cookie is valid in the interval in which it was made and in the next; the length of an interval.
+pub const VALIDITY_INTERVAL: Ms = Ms(5_000.0);
 
-/// Short, so that a challenge is short: who echoes one has to hold the keys anyway.
-pub const COOKIE: usize = 8;
+/// Length of a cookie. It is short, so that a challenge is short: a sender has to hold the keys anyway.
+pub const COOKIE_BYTES: usize = 8;
 
-/// Makes cookies under a secret of this process alone, so that none outlives it.
-pub struct Cookies(Sha);
+/// Makes and checks cookies with a secret of this process, so that none is valid after a restart.
+pub struct Cookies(HmacSha256);
 
 impl Cookies {
     pub fn new(key: &[u8], seed: u64, instance: InstanceId) -> Cookies {
@@ -21,27 +21,27 @@
         Cookies(mac_of(&secret.finalize().into_bytes()))
     }
 
-    pub fn make(&self, now: Ms, of: (MemberId, InstanceId)) -> [u8; COOKIE] {
-        self.at(tick(now), of)
+    pub fn make(&self, now: Ms, instance: (MemberId, InstanceId)) -> [u8; COOKIE_BYTES] {
+        self.cookie_in(interval(now), instance)
     }
 
-    pub fn good(&self, now: Ms, of: (MemberId, InstanceId), cookie: &[u8]) -> bool {
-        let now = tick(now);
-        // Not in equal time: a guess has to come under a MAC of the cluster's keys.
-        [now, now.wrapping_sub(1)].iter().any(|it| self.at(*it, of) == cookie)
+    pub fn is_valid(&self, now: Ms, instance: (MemberId, InstanceId), cookie: &[u8]) -> bool {
+        let current = interval(now);
+        // The comparison need not take constant time: a guess has to carry a MAC made with the cluster's keys.
+        [current, current.wrapping_sub(1)].iter().any(|number| self.cookie_in(*number, instance) == cookie)
     }
 
-    fn at(&self, tick: i64, of: (MemberId, InstanceId)) -> [u8; COOKIE] {
+    fn cookie_in(&self, interval: i64, instance: (MemberId, InstanceId)) -> [u8; COOKIE_BYTES] {
         let mut mac = self.0.clone();
-        for part in [of.0 .0.to_be_bytes(), of.1 .0.to_be_bytes(), tick.to_be_bytes()] {
+        for part in [instance.0 .0.to_be_bytes(), instance.1 .0.to_be_bytes(), interval.to_be_bytes()] {
             mac.update(&part);
         }
-        let mut cookie = [0; COOKIE];
-        cookie.copy_from_slice(&mac.finalize().into_bytes()[..COOKIE]);
+        let mut cookie = [0; COOKIE_BYTES];
+        cookie.copy_from_slice(&mac.finalize().into_bytes()[..COOKIE_BYTES]);
         cookie
     }
 }
 
-fn tick(now: Ms) -> i64 {
-    (now / TICK).floor() as i64
+fn interval(now: Ms) -> i64 {
+    (now / VALIDITY_INTERVAL).floor() as i64
 }
--- a/membership/src/auth/trouble.rs
+++ b/membership/src/auth/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a datagram that is to be sent, and with one that came.
+//! Why a message can't be sent, and why a received datagram was dropped.
 
 use thiserror::Error;
 
@@ -6,45 +6,45 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DatagramError {
     #[error(
-        "the message's body has {bytes} bytes, a datagram takes {most}; send it in pages, or leave out piggybacks"
+        "the message's body has {bytes} bytes, a datagram holds {most}; send it in pages, or leave out piggybacked payloads"
     )]
-    Long { bytes: usize, most: usize },
-    #[error("the message's body can't be written ({why}); use types of known length in it")]
-    Unwritable { why: String },
+    TooLong { bytes: usize, most: usize },
+    #[error("the message's body can't be encoded ({why}); use types of known length in it")]
+    Unencodable { why: String },
 }
 
-/// DropReason a datagram was dropped. Nothing of it was kept.
+/// Why a datagram was dropped. Nothing of it was stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum DropReason {
-    #[error("the datagram is shorter than a head and a MAC; look for what else sends to this port")]
+    #[error(
+        "the datagram is shorter than a header and a MAC; look for other programs that send to this port"
+    )]
     TooShort,
-    #[error("the datagram is longer than 1200 bytes; look for what else sends to this port")]
+    #[error("the datagram is longer than 1200 bytes; look for other programs that send to this port")]
     TooLong,
-    #[error("the datagram is of a version more than one away; bring all members within one version")]
+    #[error("the datagram's version differs by more than one; bring all members within one version")]
     UnsupportedVersion,
     #[error(
-        "the datagram is of another cluster; give clusters ports of their own or fix the cluster's name"
+        "the datagram is from another cluster; give each cluster its own ports or fix the cluster's name"
     )]
     OtherCluster,
     #[error(
-        "the datagram is for another member; see that no address is given to two, else it was sent again"
+        "the datagram is for another member; see that no two members share an address, otherwise it was replayed"
     )]
     Misaddressed,
     #[error(
-        "the datagram's MAC is of no key in force; give all members the same keys' file, old key included"
+        "the datagram's MAC matches no current key; give all members the same key file, with the old key in it"
     )]
     BadMac,
-    #[error("the datagram was opened before or is too late; if many are, look for who sends them again")]
-    Replayed,
     #[error(
-        "the datagram's instance has not echoed a challenge in time; see that answers get back to its sender"
+        "the datagram was received before or is too late; if many are, look for a host that replays them"
     )]
+    Replayed,
+    #[error("the datagram's sender has not echoed a challenge in time; see that replies reach its address")]
     Unchallenged,
-    #[error(
-        "the datagram's instance finds no room among those held; lower the count of members or of restarts"
-    )]
+    #[error("the datagram's sender finds no room in the table of instances; lower the number of members or restarts")]
     TableFull,
-    #[error("the datagram's body can't be read; bring all members within one version")]
+    #[error("the datagram's body can't be decoded; bring all members within one version")]
     Unreadable,
 }
 
@@ -62,7 +62,7 @@
         DropReason::Unreadable,
     ];
 
-    /// The name for counters and metrics.
+    /// The name of the reason in counters and metrics.
     pub fn name(self) -> &'static str {
         match self {
             DropReason::TooShort => "cut",
--- a/membership/src/auth/mod.rs
+++ b/membership/src/auth/mod.rs
@@ -1,50 +1,51 @@
-//! Messages to sealed datagrams and back. What is forged, replayed, cut, too long or of another cluster is
-//! counted and dropped, cheap checks first; nothing is stored before the MAC holds, and no instance is believed
-//! before it has echoed a cookie.
+//! Authentication of datagrams: seals messages and opens received datagrams. Datagrams that are forged,
+//! replayed, cut, too long or of another cluster are counted and dropped, cheap checks first. Nothing is stored
+//! before the MAC is verified, and no instance is accepted before it has echoed a cookie.
 
 mod cookie;
+mod error;
 mod frame;
-mod lives;
+mod instances;
 #[cfg(test)]
 mod tests;
-mod trouble;
 mod window;
 
+pub use error::{DatagramError, DropReason};
 pub use frame::MAX_DATAGRAM_BYTES;
-pub use lives::{LIVES, LIVES_OF_ONE};
-pub use trouble::{DatagramError, DropReason};
+pub use instances::{MAX_INSTANCES, MAX_INSTANCES_PER_MEMBER};
 pub use window::WINDOW;
 
 use crate::{InstanceId, MemberId};
-use cookie::{Cookies, COOKIE};
-use frame::{Head, Kind, Sha, HEAD, MAC};
-use lives::Lives;
+use cookie::{Cookies, COOKIE_BYTES};
+use frame::{Header, HmacSha256, Kind, HEADER_BYTES, MAC_BYTES};
+use instances::Instances;
 use ottersail::time::Ms;
 use ottersail_signed_urls::Keys;
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::BTreeMap;
 
-/// What is written. Versions one back and one forth are read: fields are only added at the end.
+/// The version of datagrams that are written. Those one version older or newer are read too: fields are only
+/// added at the end.
 pub const VERSION: u8 = 1;
 
 /// A challenge's body: the instance and the counter of the datagram it answers, and the cookie.
-const ASKED: usize = 8 + 8 + COOKIE;
+const CHALLENGE_BYTES: usize = 8 + 8 + COOKIE_BYTES;
 
-/// A message's body has at least so many bytes, filled with zeros: a challenge must not be longer than what
-/// it answers, or an address could be flooded by way of it.
-const SHORTEST_BODY: usize = ASKED;
+/// A message's body has at least this many bytes, padded with zeros: a challenge must not be longer than the
+/// datagram it answers, or it could be used to amplify a flood towards another address.
+const MIN_BODY_BYTES: usize = CHALLENGE_BYTES;
 
-/// A message's body has at most so many bytes, so that it can go out again behind a cookie.
-pub const LONGEST_BODY: usize = MAX_DATAGRAM_BYTES - HEAD - MAC - COOKIE;
+/// A message's body has at most this many bytes, so that it can be sent again with a cookie before it.
+pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - MAC_BYTES - COOKIE_BYTES;
 
-/// So many of the last bodies are kept, to go out again if a challenge comes (77 KB at most).
-const RESENT: u64 = 64;
+/// The last bodies are kept, to be sent again if a challenge comes (77 KB at most).
+const MAX_KEPT_BODIES: u64 = 64;
 
-/// A body is read as if so many zeros followed: a field that an older version does not write reads as 0,
-/// false, none or empty.
-const FILL: usize = 64;
+/// A body is decoded as if this many zeros followed it: a field that an older version does not write reads as
+/// 0, false, none or empty.
+const PADDING_BYTES: usize = 64;
 
-/// What came of a datagram.
+/// The result of opening a datagram.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Opened<T> {
     Message {
@@ -52,173 +53,188 @@
         instance: InstanceId,
         message: T,
     },
-    /// Send these bytes to where the datagram came from: its instance is not known yet.
+    /// Send these bytes to the address that the datagram came from: its instance is not known yet.
     Challenge(Vec<u8>),
-    /// Send these bytes to where the datagram came from: what it asks to hear again, with its cookie.
+    /// Send these bytes to the address that the datagram came from: the message that was challenged, with the
+    /// cookie.
     Resend(Vec<u8>),
     Dropped(DropReason),
 }
 
-/// One member's auth.
+/// Seals and opens the datagrams of one member.
 pub struct DatagramAuth {
-    me: MemberId,
+    own_id: MemberId,
     instance: InstanceId,
     version: u8,
     cluster: String,
-    tag: [u8; 4],
-    /// The first signs, all are believed.
-    keys: Vec<Sha>,
+    cluster_tag: [u8; 4],
+    /// The first key seals; datagrams sealed with any of them are accepted.
+    keys: Vec<HmacSha256>,
     cookies: Cookies,
     /// The last counter that was used.
     counter: u64,
+    /// The receivers and bodies of the last messages, by counter.
     sent: BTreeMap<u64, (Option<MemberId>, Vec<u8>)>,
-    lives: Lives,
+    instances: Instances,
     drops: BTreeMap<DropReason, u64>,
 }
 
 impl DatagramAuth {
-    /// `instance` and `seed` come from the system's chance: new and not to be guessed at each start.
-    pub fn new(me: MemberId, instance: InstanceId, cluster: &str, keys: Keys, seed: u64) -> DatagramAuth {
-        let derived = derived(&keys, cluster);
+    /// `instance` and `seed` come from the system's random source: new and unpredictable at each start.
+    pub fn new(own_id: MemberId, instance: InstanceId, cluster: &str, keys: Keys, seed: u64) -> DatagramAuth {
+        let derived = derived_keys(&keys, cluster);
         DatagramAuth {
-            me,
+            own_id,
             instance,
             version: VERSION,
             cluster: cluster.into(),
-            tag: frame::tag_of(cluster),
-            cookies: Cookies::new(derived.first().map_or(&[], |it| it), seed, instance),
-            keys: derived.iter().map(|it| frame::mac_of(it)).collect(),
+            cluster_tag: frame::cluster_tag(cluster),
+            cookies: Cookies::new(derived.first().map_or(&[], |key| key), seed, instance),
+            keys: derived.iter().map(|key| frame::mac_of(key)).collect(),
             counter: 0,
             sent: BTreeMap::new(),
-            lives: Lives::default(),
+            instances: Instances::default(),
             drops: BTreeMap::new(),
         }
     }
 
-    /// Other keys from now on, without a restart; lives stay believed.
+    /// Replaces the keys without a restart; verified instances stay verified.
     pub fn set_keys(&mut self, keys: &Keys) {
-        self.keys = derived(keys, &self.cluster).iter().map(|it| frame::mac_of(it)).collect();
+        self.keys = derived_keys(keys, &self.cluster).iter().map(|key| frame::mac_of(key)).collect();
     }
 
-    /// The datagram for a message; `to` is none while the id at an address is not known yet.
+    /// The datagram for a message; `to` is `None` while the id of the member at an address is not known.
     ///
     /// # Errors
-    /// If the body is longer than `LONGEST_BODY` or can't be written.
+    /// If the body is longer than `MAX_BODY_BYTES` or can't be encoded.
     pub fn seal<T: Serialize>(
         &mut self,
         to: Option<MemberId>,
         message: &T,
     ) -> Result<Vec<u8>, DatagramError> {
-        let unwritable = |it: postcard::Error| DatagramError::Unwritable { why: it.to_string() };
-        let mut body = postcard::to_allocvec(message).map_err(unwritable)?;
-        if body.len() > LONGEST_BODY {
-            return Err(DatagramError::Long { bytes: body.len(), most: LONGEST_BODY });
+        let unencodable = |error: postcard::Error| DatagramError::Unencodable { why: error.to_string() };
+        let mut body = postcard::to_allocvec(message).map_err(unencodable)?;
+        if body.len() > MAX_BODY_BYTES {
+            return Err(DatagramError::TooLong { bytes: body.len(), most: MAX_BODY_BYTES });
         }
-        body.resize(body.len().max(SHORTEST_BODY), 0);
+        body.resize(body.len().max(MIN_BODY_BYTES), 0);
         self.counter += 1;
         let bytes = self.sealed(Kind::Plain, to, &[&body]);
         self.sent.insert(self.counter, (to, body));
-        if self.sent.len() as u64 > RESENT {
+        if self.sent.len() as u64 > MAX_KEPT_BODIES {
             self.sent.pop_first();
         }
         Ok(bytes)
     }
 
-    /// What a datagram is; `now` is the member's own monotonic time.
+    /// Opens a received datagram; `now` is the member's own monotonic time.
     pub fn open<T: DeserializeOwned>(&mut self, now: Ms, bytes: &[u8]) -> Opened<T> {
-        self.opened(now, bytes).unwrap_or_else(|why| {
-            *self.drops.entry(why).or_insert(0) += 1;
-            Opened::Dropped(why)
+        self.try_open(now, bytes).unwrap_or_else(|reason| {
+            *self.drops.entry(reason).or_insert(0) += 1;
+            Opened::Dropped(reason)
         })
     }
 
-    /// How many datagrams were dropped for that reason.
-    pub fn dropped(&self, why: DropReason) -> u64 {
-        self.drops.get(&why).copied().unwrap_or(0)
+    /// The number of datagrams that were dropped for this reason.
+    pub fn dropped(&self, reason: DropReason) -> u64 {
+        self.drops.get(&reason).copied().unwrap_or(0)
     }
 
-    /// How many lives are held, `LIVES` at most.
-    pub fn held(&self) -> usize {
-        self.lives.count()
+    /// The number of instances that are stored, `MAX_INSTANCES` at most.
+    pub fn instance_count(&self) -> usize {
+        self.instances.count()
     }
 
-    fn opened<T: DeserializeOwned>(&mut self, now: Ms, bytes: &[u8]) -> Result<Opened<T>, DropReason> {
-        let head = frame::head_of(bytes, self.version, self.tag)?;
-        // Another instance under the own id is heard: a name given to two has to come out.
-        if head.to.is_some_and(|it| it != self.me) || (head.from, head.instance) == (self.me, self.instance) {
+    fn try_open<T: DeserializeOwned>(&mut self, now: Ms, bytes: &[u8]) -> Result<Opened<T>, DropReason> {
+        let header = frame::read_header(bytes, self.version, self.cluster_tag)?;
+        // Another instance under this member's own id is let through, so that a name given to two processes is
+        // noticed.
+        if header.to.is_some_and(|to| to != self.own_id)
+            || (header.from, header.instance) == (self.own_id, self.instance)
+        {
             return Err(DropReason::Misaddressed);
         }
-        let body = frame::signed_body(&self.keys, bytes)?;
-        match head.kind {
-            Kind::Challenge => self.challenged(now, &head, body),
-            Kind::Plain | Kind::Echo => self.said(now, &head, bytes.len(), body),
+        let body = frame::verified_body(&self.keys, bytes)?;
+        match header.kind {
+            Kind::Challenge => self.answer_challenge(now, &header, body),
+            Kind::Plain | Kind::Echo => self.open_message(now, &header, bytes.len(), body),
         }
     }
 
-    fn said<T: DeserializeOwned>(
+    fn open_message<T: DeserializeOwned>(
         &mut self,
         now: Ms,
-        head: &Head,
-        bytes: usize,
+        header: &Header,
+        datagram_bytes: usize,
         body: &[u8],
     ) -> Result<Opened<T>, DropReason> {
-        let who = (head.from, head.instance);
-        let known = self.lives.take(now, who, head.counter)?;
-        let split = if head.kind == Kind::Echo { COOKIE.min(body.len()) } else { 0 };
+        let sender = (header.from, header.instance);
+        let verified = self.instances.accept(now, sender, header.counter)?;
+        let split = if header.kind == Kind::Echo { COOKIE_BYTES.min(body.len()) } else { 0 };
         let (cookie, body) = body.split_at(split);
-        if !known && head.kind == Kind::Plain {
-            return self.challenge(now, head, bytes).map(Opened::Challenge);
+        if !verified && header.kind == Kind::Plain {
+            return self.challenge(now, header, datagram_bytes).map(Opened::Challenge);
         }
-        if !known {
-            // No second challenge: what was sent again is not sent a third time, so that no loop comes up.
-            self.cookies.good(now, who, cookie).then_some(()).ok_or(DropReason::Unchallenged)?;
-            self.lives.believe(now, who, head.counter)?;
+        if !verified {
+            // There is no second challenge: a message that was sent again is not sent a third time, so that
+            // two members can't exchange challenges endlessly.
+            let valid = self.cookies.is_valid(now, sender, cookie);
+            valid.then_some(()).ok_or(DropReason::Unchallenged)?;
+            self.instances.verify(now, sender, header.counter)?;
         }
-        let message = read(body)?;
-        Ok(Opened::Message { from: head.from, instance: head.instance, message })
+        let message = decode(body)?;
+        Ok(Opened::Message { from: header.from, instance: header.instance, message })
     }
 
-    /// A challenge. It uses up no counter: replays of an earlier instance would shift the own windows elsewhere.
-    fn challenge(&self, now: Ms, head: &Head, bytes: usize) -> Result<Vec<u8>, DropReason> {
-        if bytes < HEAD + ASKED + MAC {
+    /// A challenge to the sender of a datagram. It uses up no counter: otherwise replayed datagrams of an
+    /// earlier instance would advance this member's windows at other members.
+    fn challenge(&self, now: Ms, header: &Header, datagram_bytes: usize) -> Result<Vec<u8>, DropReason> {
+        if datagram_bytes < HEADER_BYTES + CHALLENGE_BYTES + MAC_BYTES {
             return Err(DropReason::Unchallenged);
         }
-        let cookie = self.cookies.make(now, (head.from, head.instance));
-        let asked: [&[u8]; 3] = [&head.instance.0.to_be_bytes(), &head.counter.to_be_bytes(), &cookie];
-        Ok(self.sealed(Kind::Challenge, Some(head.from), &asked))
+        let cookie = self.cookies.make(now, (header.from, header.instance));
+        let body: [&[u8]; 3] = [&header.instance.0.to_be_bytes(), &header.counter.to_be_bytes(), &cookie];
+        Ok(self.sealed(Kind::Challenge, Some(header.from), &body))
     }
 
-    /// The answer to a challenge: what was sent, once more. A challenge names a counter of this instance that is
-    /// still open, each good for one; so it is fresh itself and proves the instance of who sent it.
-    fn challenged<T>(&mut self, now: Ms, head: &Head, body: &[u8]) -> Result<Opened<T>, DropReason> {
-        let (instance, counter) = (frame::number(body, 0), frame::number(body, 8));
-        let meant = |it: &&(Option<MemberId>, Vec<u8>)| it.0.is_none_or(|to| to == head.from);
-        let cookie = body.get(16..16 + COOKIE).ok_or(DropReason::TooShort)?;
-        if InstanceId(instance) != self.instance || self.sent.get(&counter).filter(meant).is_none() {
+    /// Answers a challenge: sends the challenged message once more. A challenge names a counter of this
+    /// instance whose message is still kept, and each is answered once; so the challenge is recent and proves
+    /// that its sender is running.
+    fn answer_challenge<T>(
+        &mut self,
+        now: Ms,
+        header: &Header,
+        body: &[u8],
+    ) -> Result<Opened<T>, DropReason> {
+        let (instance, counter) = (frame::read_u64(body, 0), frame::read_u64(body, 8));
+        let cookie = body.get(16..16 + COOKIE_BYTES).ok_or(DropReason::TooShort)?;
+        let sent = self.sent.get(&counter);
+        let sent_to_challenger = sent.is_some_and(|(to, _)| to.is_none_or(|to| to == header.from));
+        if InstanceId(instance) != self.instance || !sent_to_challenger {
             return Err(DropReason::Unchallenged);
         }
-        self.lives.believe(now, (head.from, head.instance), head.counter)?;
-        let (_, said) = self.sent.remove(&counter).ok_or(DropReason::Unchallenged)?;
+        self.instances.verify(now, (header.from, header.instance), header.counter)?;
+        let (_, message) = self.sent.remove(&counter).ok_or(DropReason::Unchallenged)?;
         self.counter += 1;
-        Ok(Opened::Resend(self.sealed(Kind::Echo, Some(head.from), &[cookie, &said])))
+        Ok(Opened::Resend(self.sealed(Kind::Echo, Some(header.from), &[cookie, &message])))
     }
 
     fn sealed(&self, kind: Kind, to: Option<MemberId>, body: &[&[u8]]) -> Vec<u8> {
-        let (from, instance, counter) = (self.me, self.instance, self.counter);
-        let head = Head { version: self.version, kind, from, instance, to, counter };
-        // `Keys` holds one at least.
-        frame::sealed(&self.keys[0], self.tag, &head, body)
+        let (from, instance, counter) = (self.own_id, self.instance, self.counter);
+        let header = Header { version: self.version, kind, from, instance, to, counter };
+        // `Keys` holds at least one key.
+        frame::sealed(&self.keys[0], self.cluster_tag, &header, body)
     }
 }
 
-fn derived(keys: &Keys, cluster: &str) -> Vec<[u8; 32]> {
+fn derived_keys(keys: &Keys, cluster: &str) -> Vec<[u8; 32]> {
     keys.derived(&format!("datagrams of {cluster}"))
 }
 
-/// The message in a body. What follows it is ignored, what is missing reads as zeros.
-fn read<T: DeserializeOwned>(body: &[u8]) -> Result<T, DropReason> {
-    let mut filled = Vec::with_capacity(body.len() + FILL);
-    filled.extend_from_slice(body);
-    filled.resize(body.len() + FILL, 0);
-    postcard::from_bytes(&filled).map_err(|_| DropReason::Unreadable)
+/// Decodes the message in a body. Bytes after it are ignored, missing fields read as zeros.
+fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, DropReason> {
+    let mut padded = Vec::with_capacity(body.len() + PADDING_BYTES);
+    padded.extend_from_slice(body);
+    padded.resize(body.len() + PADDING_BYTES, 0);
+    postcard::from_bytes(&padded).map_err(|_| DropReason::Unreadable)
 }
--- a/membership/src/auth/tests/drops.rs
+++ b/membership/src/auth/tests/drops.rs
@@ -14,13 +14,13 @@
 
 fn of_cluster(cluster: &str, tag: &str) -> Vec<u8> {
     let mut other = DatagramAuth::new(A, InstanceId(1), cluster, Keys::read(NEW).unwrap(), 3);
-    other.tag = frame::tag_of(tag);
+    other.cluster_tag = frame::cluster_tag(tag);
     other.seal(Some(B), &5u32).unwrap()
 }
 
 #[test_case(vec![] => DropReason::TooShort; "empty")]
-#[test_case(with(0, VERSION)[..HEAD + MAC - 1].to_vec() => DropReason::TooShort; "a byte short of head and mac")]
-#[test_case(with(0, VERSION)[..HEAD + MAC].to_vec() => DropReason::BadMac; "cut within the body")]
+#[test_case(with(0, VERSION)[..HEADER_BYTES + MAC_BYTES - 1].to_vec() => DropReason::TooShort; "a byte short of head and mac")]
+#[test_case(with(0, VERSION)[..HEADER_BYTES + MAC_BYTES].to_vec() => DropReason::BadMac; "cut within the body")]
 #[test_case([with(0, VERSION), vec![0; MAX_DATAGRAM_BYTES]].concat() => DropReason::TooLong; "too long")]
 #[test_case(with(0, VERSION + 2) => DropReason::UnsupportedVersion; "two versions on")]
 #[test_case(with(1, 3) => DropReason::UnsupportedVersion; "unknown kind")]
@@ -30,10 +30,10 @@
 #[test_case(auth(A, 1).seal(Some(MemberId(9)), &5u32).unwrap() => DropReason::Misaddressed; "for another member")]
 #[test_case(auth(B, 2).seal(None, &5u32).unwrap() => DropReason::Misaddressed; "my own come back")]
 #[test_case(keyed(A, 1, OLD).seal(Some(B), &5u32).unwrap() => DropReason::BadMac; "a key not in force")]
-fn strangers_are_dropped_by_kind(bytes: Vec<u8>) -> DropReason {
+fn invalid_datagrams_are_dropped_by_reason(bytes: Vec<u8>) -> DropReason {
     let mut b = auth(B, 2);
     let Opened::Dropped(why) = open(&mut b, NOW, &bytes) else { panic!("opened") };
-    assert_eq!((b.dropped(why), b.held(), b.sent.len()), (1, 0, 0));
+    assert_eq!((b.dropped(why), b.instance_count(), b.sent.len()), (1, 0, 0));
     assert_eq!(DropReason::ALL.iter().map(|it| b.dropped(*it)).sum::<u64>(), 1);
     why
 }
@@ -43,8 +43,8 @@
     let (mut a, mut b) = (auth(A, 1), auth(B, 2));
     let echo = echo(&mut a, &mut b, NOW, 5);
     let plain = a.seal(Some(B), &6u32).unwrap();
-    assert_eq!(open(&mut b, NOW, &echo), said(A, 1, 5));
-    assert_eq!(open(&mut b, NOW, &plain), said(A, 1, 6));
+    assert_eq!(open(&mut b, NOW, &echo), accepted(A, 1, 5));
+    assert_eq!(open(&mut b, NOW, &plain), accepted(A, 1, 6));
     for bytes in [&echo, &plain] {
         assert_eq!(open(&mut b, NOW, bytes), dropped(DropReason::Replayed));
     }
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_body_that_is_no_message_is_unread() {
+fn a_body_that_is_not_a_message_is_unreadable() {
     let (mut a, mut b) = pair();
     let bytes = a.seal(Some(B), &u64::MAX).unwrap();
     assert_eq!(open(&mut b, NOW, &bytes), dropped(DropReason::Unreadable));
@@ -61,7 +61,7 @@
 #[test]
 fn the_longest_body_passes_even_behind_a_cookie_and_one_byte_more_does_not() {
     let (mut a, mut b) = (auth(A, 1), auth(B, 2));
-    let text = "x".repeat(LONGEST_BODY - 2);
+    let text = "x".repeat(MAX_BODY_BYTES - 2);
     let first = a.seal(Some(B), &text).unwrap();
     let asked = challenge(&mut b, NOW, &first);
     let again = resend(&mut a, NOW, &asked);
@@ -70,9 +70,9 @@
         b.open(NOW, &again),
         Opened::Message { from: A, instance: InstanceId(1), message: text.clone() }
     );
-    let long = Err(DatagramError::Long { bytes: LONGEST_BODY + 1, most: LONGEST_BODY });
+    let long = Err(DatagramError::TooLong { bytes: MAX_BODY_BYTES + 1, most: MAX_BODY_BYTES });
     assert_eq!(a.seal(Some(B), &format!("{text}x")), long);
-    assert!(matches!(a.seal(None, &Unwritable), Err(DatagramError::Unwritable { .. })));
+    assert!(matches!(a.seal(None, &Unwritable), Err(DatagramError::Unencodable { .. })));
 }
 
 struct Unwritable;
@@ -86,9 +86,9 @@
 
 /// A tenth of them without optimization; all of them in release and in the example `forged`.
 #[test]
-fn a_million_forged_leave_nothing_behind() {
+fn a_million_forged_datagrams_store_nothing() {
     let (mut a, mut b) = pair();
-    let held = b.held();
+    let held = b.instance_count();
     let mut bytes = a.seal(Some(B), &7u32).unwrap();
     for no in 0..FORGED {
         // Each from another sender, instance and counter; the tag and the version are right.
@@ -97,17 +97,19 @@
         bytes[end..].copy_from_slice(&no.wrapping_mul(0x9e37_79b9_7f4a_7c15).to_be_bytes());
         assert_eq!(open(&mut b, NOW, &bytes), dropped(DropReason::BadMac));
     }
-    assert_eq!((b.held(), b.sent.len(), b.drops.len()), (held, 0, 1));
+    assert_eq!((b.instance_count(), b.sent.len(), b.drops.len()), (held, 0, 1));
     assert_eq!(b.dropped(DropReason::BadMac), FORGED);
     let honest = a.seal(Some(B), &8u32).unwrap();
-    assert_eq!(open(&mut b, NOW, &honest), said(A, 1, 8));
+    assert_eq!(open(&mut b, NOW, &honest), accepted(A, 1, 8));
 }
 
 /// Each says what is wrong, where, and what to try.
 #[test]
-fn every_trouble_has_three_parts() {
-    let errors =
-        [DatagramError::Long { bytes: 2, most: 1 }, DatagramError::Unwritable { why: "no length".into() }];
+fn every_error_says_what_is_wrong_and_what_to_do() {
+    let errors = [
+        DatagramError::TooLong { bytes: 2, most: 1 },
+        DatagramError::Unencodable { why: "no length".into() },
+    ];
     let told =
         DropReason::ALL.iter().map(DropReason::to_string).chain(errors.iter().map(DatagramError::to_string));
     let told: Vec<_> = told.collect();
--- a/membership/src/auth/tests/mod.rs
+++ b/membership/src/auth/tests/mod.rs
@@ -24,7 +24,7 @@
     auth.open(now, bytes)
 }
 
-fn said(from: MemberId, instance: u64, message: u32) -> Opened<u32> {
+fn accepted(from: MemberId, instance: u64, message: u32) -> Opened<u32> {
     Opened::Message { from, instance: InstanceId(instance), message }
 }
 
@@ -48,7 +48,7 @@
 
 /// The first datagram from one to another, up to the echo, which is not opened yet.
 fn echo(from: &mut DatagramAuth, to: &mut DatagramAuth, now: Ms, message: u32) -> Vec<u8> {
-    let first = from.seal(Some(to.me), &message).unwrap();
+    let first = from.seal(Some(to.own_id), &message).unwrap();
     let asked = challenge(to, now, &first);
     resend(from, now, &asked)
 }
@@ -57,6 +57,6 @@
 fn pair() -> (DatagramAuth, DatagramAuth) {
     let (mut a, mut b) = (auth(A, 1), auth(B, 2));
     let echo = echo(&mut a, &mut b, NOW, 5);
-    assert_eq!(open(&mut b, NOW, &echo), said(A, 1, 5));
+    assert_eq!(open(&mut b, NOW, &echo), accepted(A, 1, 5));
     (a, b)
 }
--- a/membership/src/auth/tests/random_datagrams.rs
+++ b/membership/src/auth/tests/random_datagrams.rs
@@ -1,4 +1,4 @@
-//! Flipped bits, cuts, replays and reordering by chance; keys that follow one another.
+//! Flipped bits, cuts, replays and reordering by rng; keys that follow one another.
 
 use super::*;
 use proptest::prelude::*;
@@ -30,7 +30,7 @@
     }
 
     #[test]
-    fn any_cut_and_any_tail_is_dropped(text in ".{0,200}", cut in any::<prop::sample::Index>(), tail in 1..99usize) {
+    fn truncated_and_extended_datagrams_are_dropped(text in ".{0,200}", cut in any::<prop::sample::Index>(), tail in 1..99usize) {
         let (mut a, mut b) = pair();
         let bytes = a.seal(Some(B), &text).unwrap();
         let cut = &bytes[..cut.index(bytes.len())];
@@ -40,7 +40,7 @@
     }
 
     #[test]
-    fn noise_is_dropped(bytes in prop::collection::vec(any::<u8>(), 0..1_300)) {
+    fn random_bytes_are_dropped(bytes in prop::collection::vec(any::<u8>(), 0..1_300)) {
         prop_assert!(matches!(open(&mut auth(B, 2), NOW, &bytes), Opened::Dropped(_)));
     }
 
@@ -52,7 +52,7 @@
         let mut highest = 0;
         for no in order {
             let fresh = times[no as usize] == 0 && no + WINDOW as u32 > highest;
-            let wanted = if fresh { said(A, 1, no) } else { dropped(DropReason::Replayed) };
+            let wanted = if fresh { accepted(A, 1, no) } else { dropped(DropReason::Replayed) };
             prop_assert_eq!(open(&mut b, NOW, &sent[no as usize]), wanted);
             times[no as usize] += u32::from(fresh);
             highest = highest.max(no);
@@ -68,7 +68,7 @@
         order.sort_unstable();
         let bytes: Vec<_> = (0..400u32).map(|it| a.seal(Some(B), &it).unwrap()).collect();
         for (_, no) in order {
-            prop_assert_eq!(open(&mut b, NOW, &bytes[no as usize]), said(A, 1, no));
+            prop_assert_eq!(open(&mut b, NOW, &bytes[no as usize]), accepted(A, 1, no));
         }
     }
 }
@@ -78,7 +78,7 @@
 #[test_case("old\nnew", "new\nold", true; "then it signs")]
 #[test_case("new\nold", NEW, true; "then the old one goes")]
 #[test_case(OLD, NEW, false; "all at once does not work")]
-fn keys_follow_one_another_both_ways(before: &str, after: &str, heard: bool) {
+fn keys_can_be_rotated_member_by_member(before: &str, after: &str, last_heard: bool) {
     let spelt = |it: &str| match it {
         "old\nnew" => format!("{OLD}\n{NEW}"),
         "new\nold" => format!("{NEW}\n{OLD}"),
@@ -87,19 +87,19 @@
     let (before, after) = (spelt(before), spelt(after));
     let (mut a, mut b) = (keyed(A, 1, &before), keyed(B, 2, &before));
     let proof = echo(&mut a, &mut b, NOW, 5);
-    assert_eq!(open(&mut b, NOW, &proof), said(A, 1, 5));
+    assert_eq!(open(&mut b, NOW, &proof), accepted(A, 1, 5));
     // One of the two has the new file already, and back.
     a.set_keys(&Keys::read(&after).unwrap());
     let (there, back) = (a.seal(Some(B), &6u32).unwrap(), b.seal(Some(A), &7u32).unwrap());
-    let wanted = |it| if heard { it } else { dropped(DropReason::BadMac) };
-    assert_eq!(open(&mut b, NOW, &there), wanted(said(A, 1, 6)));
-    assert_eq!(open(&mut a, NOW, &back), wanted(said(B, 2, 7)));
+    let wanted = |it| if last_heard { it } else { dropped(DropReason::BadMac) };
+    assert_eq!(open(&mut b, NOW, &there), wanted(accepted(A, 1, 6)));
+    assert_eq!(open(&mut a, NOW, &back), wanted(accepted(B, 2, 7)));
     let mut c = keyed(MemberId(3), 3, &after);
     let first = c.seal(None, &8u32).unwrap();
-    if heard {
+    if last_heard {
         let asked = challenge(&mut b, NOW, &first);
         let again = resend(&mut c, NOW, &asked);
-        assert_eq!(open(&mut b, NOW, &again), said(MemberId(3), 3, 8));
+        assert_eq!(open(&mut b, NOW, &again), accepted(MemberId(3), 3, 8));
     } else {
         assert_eq!(open(&mut b, NOW, &first), dropped(DropReason::BadMac));
     }
--- a/membership/src/auth/tests/versions.rs
+++ b/membership/src/auth/tests/versions.rs
@@ -62,7 +62,7 @@
 /// A auth to which the sender of the fixtures is known.
 fn reader(version: u8) -> DatagramAuth {
     let mut b = speaking(B, version);
-    b.lives.believe(NOW, (A, InstanceId(1)), 0).unwrap();
+    b.instances.verify(NOW, (A, InstanceId(1)), 0).unwrap();
     b
 }
 
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn each_version_is_written_as_it_always_was() {
+fn each_version_is_written_as_in_the_fixture() {
     let wrote = |version, bytes: fn(&mut DatagramAuth) -> Vec<u8>| {
         let bytes = bytes(&mut speaking(A, version));
         bytes.iter().map(|it| format!("{it:02x}")).collect::<String>()
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn one_version_back_and_forth_is_read() {
+fn one_version_older_or_newer_is_read() {
     assert_eq!(opened(VERSION, OF_BEFORE), Ok(today(None)));
     assert_eq!(opened(VERSION, OF_TODAY), Ok(today(Some(7))));
     assert_eq!(opened(VERSION, OF_NEXT), Ok(today(Some(7))));
@@ -113,7 +113,7 @@
 
 /// The members' own message, by both ways of being sent.
 #[test]
-fn a_members_message_passes() {
+fn a_membership_message_passes() {
     let piggybacks = vec![Piggyback { topic: Topic(3), bytes: vec![1, 2] }];
     let body = Body::Probe { number: 9, to: B, instance: InstanceId(2) };
     let message = Message { incarnation: Incarnation(4), body, updates: vec![], piggybacks };
--- a/membership/src/auth/window.rs
+++ b/membership/src/auth/window.rs
@@ -1,33 +1,34 @@
-//! Which counters of one instance have been opened already.
+//! Replay protection: which datagram counters of one instance have been accepted already.
 
 const WORDS: usize = 4;
 
-/// So many counters back are told apart; older ones count as seen. A member of 200 sends some ten datagrams
-/// a second, so that a datagram may be late by some twenty seconds.
+/// Counters that are tracked below the highest; older ones count as seen. In a cluster of 200, a member sends
+/// about ten datagrams per second, so a datagram may be about twenty seconds late.
 pub const WINDOW: u64 = 64 * WORDS as u64;
 
 /// The highest counter seen and, for each of the `WINDOW` counters up to it, whether it was seen.
-/// (The way of IPsec's anti-replay service: Kent 2005, RFC 4303, section 3.4.3.)
+/// The method is that of IPsec's anti-replay service (Kent 2005, RFC 4303, section 3.4.3).
 #[derive(Clone, Debug)]
 pub struct Window {
     highest: u64,
-    /// Bit `n % WINDOW` stands for counter n.
+    /// Bit `n % WINDOW` says whether counter n was seen.
     seen: [u64; WORDS],
 }
 
 impl Window {
-    /// A window in which all up to `counter` counts as seen: what was sent before a instance was believed is
-    /// never opened later, or a recorded datagram could follow the proof of another.
+    /// A window in which all counters up to `counter` count as seen. What an instance sent before it was verified
+    /// is never accepted later; otherwise recorded datagrams could be replayed after its verification.
     pub fn closed_at(counter: u64) -> Window {
         Window { highest: counter, seen: [u64::MAX; WORDS] }
     }
 
+    /// The highest counter seen.
     pub fn highest(&self) -> u64 {
         self.highest
     }
 
-    /// True once for each counter that is neither seen nor older than the window.
-    pub fn take(&mut self, counter: u64) -> bool {
+    /// Marks a counter as seen. True once for each counter that is not older than the window.
+    pub fn accept(&mut self, counter: u64) -> bool {
         if counter > self.highest {
             let steps = (counter - self.highest).min(WINDOW);
             for back in 0..steps {
@@ -42,13 +43,13 @@
     }
 
     fn has(&self, counter: u64) -> bool {
-        let at = counter % WINDOW;
-        self.seen[(at / 64) as usize] >> (at % 64) & 1 == 1
+        let bit_index = counter % WINDOW;
+        self.seen[(bit_index / 64) as usize] >> (bit_index % 64) & 1 == 1
     }
 
     fn set(&mut self, counter: u64, seen: bool) {
-        let at = counter % WINDOW;
-        let (word, bit) = (&mut self.seen[(at / 64) as usize], 1 << (at % 64));
+        let bit_index = counter % WINDOW;
+        let (word, bit) = (&mut self.seen[(bit_index / 64) as usize], 1 << (bit_index % 64));
         *word = if seen { *word | bit } else { *word & !bit };
     }
 }
--- a/membership/src/terms.rs
+++ b/membership/src/config.rs
@@ -1,47 +1,50 @@
-//! What a member is told when it is new.
+//! Configuration of a member.
 
 use crate::ids::{Address, InstanceId, MemberId};
 use ottersail::time::Ms;
 use thiserror::Error;
 
-/// Who a member is.
+/// The identity of the local member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocalMember {
     /// 1..=32 bytes of a-z, 0-9 and -.
     pub name: String,
     /// [`MemberId::of`] the cluster and the name.
     pub id: MemberId,
+    /// New at each start of the process.
     pub instance: InstanceId,
     pub address: Address,
     /// Up to 32 bytes of a-z, 0-9 and -.
     pub site: String,
 }
 
-/// Settings of the machine; spans in milliseconds of the member's own monotonic clock.
+/// Settings of the protocol. Times are in milliseconds of the member's own monotonic clock.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipConfig {
     pub local: LocalMember,
-    /// Members to ask when coming in; the member's own address among them is passed over.
+    /// Addresses to ask when joining; the member's own address among them is skipped.
     pub seeds: Vec<Address>,
-    /// One probe a period.
+    /// One member is probed in each period.
     pub probe_period: Ms,
-    /// Members asked to probe on one's behalf.
+    /// Members that are asked to probe a target that does not answer.
     pub helpers: usize,
-    /// A suspicion confirmed by `confirmations` others runs for this many periods times log10 of the count.
+    /// A suspicion confirmed by `confirmations` others runs for this many periods times log10 of the cluster size.
     pub suspicion_factor: f64,
-    /// One that nobody confirms runs this many times longer.
+    /// A suspicion that nobody confirms runs this many times longer.
     pub unconfirmed_factor: f64,
+    /// Confirmations that shorten a suspicion to its minimum.
     pub confirmations: usize,
-    /// Update go out this many times log2 of the count and one.
+    /// An update is sent this many times log2 of the cluster size plus one.
     pub retransmit_factor: f64,
-    /// Between two full exchanges.
+    /// Time between two full exchanges.
     pub exchange_interval: Ms,
-    /// The dead are kept, and called now and then, for this long.
+    /// Dead members are kept, and contacted from time to time, for this long.
     pub forget_after: Ms,
-    /// Members held at once, the dead included.
+    /// Members that are stored at most, dead ones included.
     pub max_members: usize,
 }
 
+/// A setting that is out of range.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum MembershipConfigError {
     #[error(
@@ -55,6 +58,7 @@
 }
 
 impl MembershipConfig {
+    /// The default settings.
     pub fn new(local: LocalMember, seeds: Vec<Address>) -> MembershipConfig {
         MembershipConfig {
             local,
@@ -71,11 +75,14 @@
         }
     }
 
-    /// To be asked before a member is new with them.
+    /// Checks the settings before a member is created with them.
+    ///
+    /// # Errors
+    /// The first setting that is out of range.
     pub fn check(&self) -> Result<(), MembershipConfigError> {
         let plain = |text: &str| {
             text.len() <= 32
-                && text.bytes().all(|b| b.is_ascii_lowercase() || b.is_ascii_digit() || b == b'-')
+                && text.bytes().all(|byte| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-')
         };
         if self.local.name.is_empty() || !plain(&self.local.name) {
             return Err(MembershipConfigError::Name(self.local.name.clone()));
--- a/membership/src/health.rs
+++ b/membership/src/health.rs
@@ -1,54 +1,58 @@
-//! Local health (Lifeguard): who fails to hear may be at fault himself.
+//! Local health (Lifeguard): a member that receives no answers may itself be the cause, so it waits longer
+//! before it suspects others.
 
-use crate::machine::Members;
+use crate::members::Members;
 use crate::view::{Change, Effects};
 use ottersail::time::Ms;
 
-const WORST: u32 = 8;
+/// The worst health score; 0 is healthy.
+const WORST_HEALTH: u32 = 8;
 
 impl Members {
-    /// How much longer everything is waited for than when all is well.
-    pub(crate) fn patience(&self) -> f64 {
+    /// The factor by which timeouts are longer than those of a healthy member.
+    pub(crate) fn health_multiplier(&self) -> f64 {
         f64::from(1 + self.health)
     }
 
-    pub(crate) fn stretched(&self) -> Ms {
-        self.terms.probe_period * self.patience()
+    /// The probe period, scaled by the local health.
+    pub(crate) fn scaled_period(&self) -> Ms {
+        self.config.probe_period * self.health_multiplier()
     }
 
-    pub(crate) fn worse(&mut self, by: u32) {
-        self.health = (self.health + by).min(WORST);
+    pub(crate) fn degrade_health(&mut self, by: u32) {
+        self.health = (self.health + by).min(WORST_HEALTH);
     }
 
-    pub(crate) fn better(&mut self) {
+    pub(crate) fn improve_health(&mut self) {
         self.health = self.health.saturating_sub(1);
     }
 
-    /// Guards against burying others for one's own pause: what they said meanwhile still lies unread, so
-    /// every waiting goes on from now as if the pause had not been, and suspicions run again.
-    pub(crate) fn notice_lateness(&mut self, now: Ms, out: &mut dyn Effects) {
-        let late = self.lateness(now);
-        if late < self.terms.probe_period * 0.25 {
+    /// Keeps this member from declaring others dead because its own process was paused: what they sent
+    /// meanwhile is still unread. Every timeout is extended by the length of the pause, and every suspicion
+    /// runs for at least its shortest time from now on.
+    pub(crate) fn handle_late_timer(&mut self, now: Ms, effects: &mut dyn Effects) {
+        let late = self.timer_delay(now);
+        if late < self.config.probe_period * 0.25 {
             return;
         }
         for probe in self.probes.values_mut() {
-            // A moment more: the answer may lie unread beside this very bell.
-            probe.due = probe.due + late + self.terms.probe_period * 0.25;
+            // A quarter of a period more: the answer may be in the receive queue and be read after this timer.
+            probe.due = probe.due + late + self.config.probe_period * 0.25;
             probe.sent = probe.sent + late;
         }
-        for help in self.helps.values_mut() {
-            help.due = help.due + late;
+        for pending in self.indirect_probes.values_mut() {
+            pending.due = pending.due + late;
         }
-        let again = self.shortest_suspicion();
+        let shortest = self.shortest_suspicion();
         for suspicion in self.peers.values_mut().filter_map(|peer| peer.suspicion.as_mut()) {
             suspicion.since = suspicion.since + late;
-            suspicion.ends = (suspicion.ends + late).max(now + again);
+            suspicion.ends = (suspicion.ends + late).max(now + shortest);
         }
-        self.forgive_bell(now);
-        if late > self.terms.probe_period {
+        self.reset_deadline(now);
+        if late > self.config.probe_period {
             self.counters.pauses += 1;
-            self.worse(1);
-            self.note(Change::Paused { late }, out);
+            self.degrade_health(1);
+            self.report(Change::Paused { late }, effects);
         }
     }
 }
--- a/membership/src/ids.rs
+++ b/membership/src/ids.rs
@@ -1,36 +1,37 @@
-//! Each kind of name is a type of its own.
+//! Identifiers, each a type of its own.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// Where a member's datagrams and connections go: a plain value, nothing is opened here.
+/// Where a member receives datagrams and connections.
 pub type Address = std::net::SocketAddrV4;
 
-/// Who: the first 8 bytes of SHA-256 over the cluster's name, a 0, and the member's name.
+/// Identifies a member: the first 8 bytes of SHA-256 over the cluster's name, a zero byte and the member's name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "[u8; 8]", into = "[u8; 8]")]
 pub struct MemberId(pub u64);
 
-/// One run of a member's process: drawn when it starts.
+/// Identifies one run of a member's process; drawn at random when the process starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "[u8; 8]", into = "[u8; 8]")]
 pub struct InstanceId(pub u64);
 
-/// Raised by the member alone, to contradict what others say of it.
+/// A member's version of its own state. It grows when the member, or another on its behalf, refutes what is
+/// said of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u32);
 
-/// Which upper layer a message or rider is for.
+/// The layer above that a message or a piggybacked payload is for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Topic(pub u8);
 
-/// Which try of the second way an answer belongs to.
+/// Links the result of a dial to its request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DialId(pub u64);
 
 impl MemberId {
-    /// The id that this name has in that cluster.
+    /// The id of the member of this name in that cluster.
     pub fn of(cluster: &str, name: &str) -> MemberId {
         let digest = Sha256::new().chain_update(cluster).chain_update([0]).chain_update(name).finalize();
         MemberId(digest.iter().take(8).fold(0, |sum, byte| sum << 8 | u64::from(*byte)))
@@ -74,6 +75,7 @@
 }
 
 impl Incarnation {
+    /// The incarnation that refutes this one.
     pub fn next(self) -> Incarnation {
         Incarnation(self.0.saturating_add(1))
     }
--- a/membership/src/message.rs
+++ b/membership/src/message.rs
@@ -1,9 +1,10 @@
-//! What members say to one another. New variants and fields are only added at the end.
+//! Messages between members. They are encoded with postcard by the order of variants and fields: new ones are
+//! only added at the end.
 
 use crate::ids::{Address, Incarnation, InstanceId, MemberId, Topic};
 use serde::{Deserialize, Serialize};
 
-/// Where a message came from: the auth read id and instance in the sealed header, the socket told the address.
+/// Who sent a message: id and instance are from the authenticated header, the address is from the socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sender {
     pub id: MemberId,
@@ -11,21 +12,22 @@
     pub address: Address,
 }
 
-/// One datagram's worth: at most 1,136 bytes in postcard, so that 64 are left for the seal.
+/// The content of one datagram: at most 1,136 bytes in postcard, so that 64 are left for header and MAC.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender's own.
+    /// The sender's current incarnation.
     pub incarnation: Incarnation,
     pub body: Body,
-    /// What is said of members along with it.
+    /// Updates about members that travel along.
     pub updates: Vec<Update>,
-    /// Small bytes of upper layers.
+    /// Small payloads of the layers above.
     pub piggybacks: Vec<Piggyback>,
 }
 
+/// What a message is for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// Are you there? `to` keeps another member at a reused address from answering.
+    /// Asks for an ack. `to` keeps another member at a reused address from answering.
     Probe {
         number: u32,
         to: MemberId,
@@ -34,72 +36,74 @@
     Ack {
         number: u32,
     },
-    /// Probe `target` for me.
-    ProbeFor {
+    /// Asks the receiver to probe `target` on the sender's behalf.
+    ProbeRequest {
         number: u32,
         target: MemberId,
         instance: InstanceId,
-        at: Address,
+        address: Address,
     },
-    /// A helper's probe; `asker` wants to know as well whether it is heard.
-    ProbeOn {
+    /// A helper's probe; the target also says whether it receives datagrams of `requester`.
+    IndirectProbe {
         number: u32,
         to: MemberId,
         instance: InstanceId,
-        asker: MemberId,
+        requester: MemberId,
     },
-    AckOn {
+    IndirectAck {
         number: u32,
-        hears_asker: bool,
+        hears_requester: bool,
     },
-    /// The target answered the helper; `hears_you`: it has lately heard the asker's own datagrams.
-    AckFor {
+    /// The target answered the helper. `hears_you`: it has recently received the requester's own datagrams.
+    ForwardedAck {
         number: u32,
         hears_you: bool,
     },
-    /// The helper lives but has not heard the target in time.
-    NackFor {
+    /// The helper is running but has not received an answer of the target in time.
+    ForwardedNack {
         number: u32,
     },
-    /// Update alone.
+    /// Carries updates only.
     Gossip,
-    /// I want to come in. Asked again each period until answered.
+    /// Asks to join; repeated in each period until it is answered.
     Join {
-        place: MemberInfo,
+        info: MemberInfo,
     },
-    /// You are in; `known` is the incarnation under which your id was known before, if it was.
-    Welcome {
-        known: Option<Incarnation>,
+    /// The sender has joined, if `known_incarnation` is `None`; otherwise its id was known with that
+    /// incarnation and it has to ask again with a higher one.
+    JoinAccepted {
+        known_incarnation: Option<Incarnation>,
     },
-    /// Your name belongs to another instance that answers, at that address.
-    Held {
-        by: Address,
+    /// The receiver's name belongs to another instance that answers, at the address `holder`.
+    NameTaken {
+        holder: Address,
         instance: InstanceId,
     },
-    /// Sums over all that the sender holds alive, 3 bytes for each of 64 buckets of ids.
+    /// Checksums over all members that the sender considers up, 3 bytes for each of 64 buckets of ids.
     Digest {
         sums: Vec<u8>,
     },
-    /// A page of what the sender knows of the buckets in `mask`, in `news`, by id; `more`: others follow on
-    /// [`Body::Next`]; `back`: the receiver's are wanted in turn. With an empty mask all sums agreed.
+    /// What the sender knows of the members in the buckets of `mask`, in the message's updates, ordered by id.
+    /// `more`: further pages follow on [`Body::NextPage`]. `back`: the receiver is asked for its own page. An
+    /// empty mask says that all checksums agreed.
     Page {
         mask: u64,
         more: bool,
         back: bool,
     },
-    /// Send me the page after this member.
-    Next {
+    /// Asks for the page that starts past the member `after`.
+    NextPage {
         mask: u64,
         after: MemberId,
     },
-    /// An upper layer's own message.
-    Tell {
+    /// A message of a layer above.
+    Application {
         topic: Topic,
         bytes: Vec<u8>,
     },
 }
 
-/// From the best to the last: at one incarnation, the later one counts.
+/// A member's state. Of two states at the same incarnation, the later one in this order wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum State {
     Alive,
@@ -108,7 +112,7 @@
     Left,
 }
 
-/// Who says it is where.
+/// A member's name, address and site.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberInfo {
     pub name: String,
@@ -116,19 +120,19 @@
     pub site: String,
 }
 
-/// One thing said of one member.
+/// One statement about one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    pub about: MemberId,
+    pub member: MemberId,
     pub instance: InstanceId,
     pub incarnation: Incarnation,
     pub state: State,
-    /// Who suspects or buried it, first hand.
-    pub by: Option<MemberId>,
-    pub place: Option<MemberInfo>,
+    /// The member whose own probes led to a suspicion or a death.
+    pub reported_by: Option<MemberId>,
+    pub info: Option<MemberInfo>,
 }
 
-/// A few bytes of an upper layer, on probes and acks.
+/// A small payload of a layer above that travels on probes and acks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piggyback {
     pub topic: Topic,
--- a/membership/src/peer.rs
+++ b/membership/src/peer.rs
@@ -1,90 +1,96 @@
-//! One other member, as it is held inside.
+//! The stored state of one other member.
 
 use crate::ids::MemberId;
-use crate::machine::Members;
+use crate::members::Members;
 use crate::message::{MemberInfo, State, Update};
 use crate::view::{Change, Effects, MemberView, Reachability, StateChangeReason};
 use ottersail::time::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Own clock of a suspicion_factor; every member that hears of it runs one.
+/// A running suspicion. Every member that hears of a suspicion runs its own timeout.
 pub(crate) struct Suspicion {
     pub since: Ms,
     pub ends: Ms,
-    /// Who suspects it first hand.
+    /// Members that suspect it because of their own probes.
     pub by: BTreeSet<MemberId>,
 }
 
 pub(crate) struct Peer {
-    pub known: MemberView,
+    pub view: MemberView,
     pub suspicion: Option<Suspicion>,
-    /// Last direct acknowledgement.
-    pub acked: Ms,
-    /// Last datagram of its own.
-    pub heard: Ms,
+    /// When it last acknowledged a probe of this member.
+    pub last_ack: Ms,
+    /// When a datagram of it last arrived.
+    pub last_heard: Ms,
 }
 
 impl Peer {
-    pub fn new(now: Ms, news: &Update, place: &MemberInfo) -> Peer {
-        let known = MemberView {
-            name: place.name.clone(),
-            state: news.state,
-            address: place.address,
-            site: place.site.clone(),
-            incarnation: news.incarnation,
-            instance: news.instance,
-            reachability: if news.state <= State::Suspect {
-                Reachability::ThroughOthers
-            } else {
-                Reachability::Unreachable
-            },
+    pub fn new(now: Ms, update: &Update, info: &MemberInfo) -> Peer {
+        let reachability = if update.state <= State::Suspect {
+            Reachability::ThroughOthers
+        } else {
+            Reachability::Unreachable
+        };
+        let view = MemberView {
+            name: info.name.clone(),
+            state: update.state,
+            address: info.address,
+            site: info.site.clone(),
+            incarnation: update.incarnation,
+            instance: update.instance,
+            reachability,
             piggybacks: BTreeMap::new(),
             since: now,
         };
-        Peer { known, suspicion: None, acked: Ms::LONG_AGO, heard: Ms::LONG_AGO }
+        Peer { view, suspicion: None, last_ack: Ms::LONG_AGO, last_heard: Ms::LONG_AGO }
     }
 
-    pub fn place(&self) -> MemberInfo {
-        let MemberView { name, address, site, .. } = &self.known;
+    pub fn info(&self) -> MemberInfo {
+        let MemberView { name, address, site, .. } = &self.view;
         MemberInfo { name: name.clone(), address: *address, site: site.clone() }
     }
 
-    pub fn up(&self) -> bool {
-        self.known.state <= State::Suspect
+    /// Whether it is alive or suspect.
+    pub fn is_up(&self) -> bool {
+        self.view.state <= State::Suspect
     }
 }
 
 impl Members {
-    /// What this member would say of another.
-    pub(crate) fn update_about(&self, id: MemberId, by: Option<MemberId>) -> Option<Update> {
+    /// The update that describes what this member knows of another.
+    pub(crate) fn update_about(&self, id: MemberId, reported_by: Option<MemberId>) -> Option<Update> {
         let peer = self.peers.get(&id)?;
-        let MemberView { instance, incarnation, state, .. } = peer.known;
-        Some(Update { about: id, instance, incarnation, state, by, place: Some(peer.place()) })
+        let MemberView { instance, incarnation, state, .. } = peer.view;
+        Some(Update { member: id, instance, incarnation, state, reported_by, info: Some(peer.info()) })
     }
 
     pub(crate) fn update_about_self(&self, state: State) -> Update {
-        let me = &self.terms.local;
-        let place = MemberInfo { name: me.name.clone(), address: me.address, site: me.site.clone() };
+        let local = &self.config.local;
         Update {
-            about: me.id,
-            instance: me.instance,
+            member: local.id,
+            instance: local.instance,
             incarnation: self.incarnation,
             state,
-            by: None,
-            place: Some(place),
+            reported_by: None,
+            info: Some(self.own_info()),
         }
     }
 
+    pub(crate) fn own_info(&self) -> MemberInfo {
+        let local = &self.config.local;
+        MemberInfo { name: local.name.clone(), address: local.address, site: local.site.clone() }
+    }
+
     pub(crate) fn set_state(
         &mut self,
         now: Ms,
         id: MemberId,
         is: State,
         why: StateChangeReason,
-        out: &mut dyn Effects,
+        effects: &mut dyn Effects,
     ) {
         let Some(peer) = self.peers.get_mut(&id) else { return };
-        let was = peer.known.state;
+        let was = peer.view.state;
         if is != State::Suspect {
             peer.suspicion = None;
             self.suspects.remove(&id);
@@ -92,43 +98,45 @@
         if was == is {
             return;
         }
-        peer.known.state = is;
+        peer.view.state = is;
         if is >= State::Dead && was < State::Dead {
-            self.living.retain(|it| *it != id);
+            self.up_members.retain(|member| *member != id);
         } else if is < State::Dead && was >= State::Dead {
-            self.living.push(id);
+            self.up_members.push(id);
         }
-        peer.known.since = now;
-        let name = peer.known.name.clone();
-        self.note(Change::State { id, name, was: Some(was), is, why }, out);
+        peer.view.since = now;
+        let name = peer.view.name.clone();
+        self.report(Change::State { id, name, was: Some(was), is, why }, effects);
         match is {
             State::Dead | State::Left => {
                 self.counters.deaths += u64::from(is == State::Dead);
-                self.set_reachability(id, Reachability::Unreachable, out);
+                self.set_reachability(id, Reachability::Unreachable, effects);
+            }
+            State::Alive if was >= State::Dead => {
+                self.set_reachability(id, Reachability::ThroughOthers, effects)
             }
-            State::Alive if was >= State::Dead => self.set_reachability(id, Reachability::ThroughOthers, out),
             _ => {}
         }
     }
 
-    /// Up to so many different members that are alive or suspect, by chance.
-    pub(crate) fn some_living(&mut self, count: usize) -> Vec<MemberId> {
-        let mut some: Vec<MemberId> = Vec::with_capacity(count);
-        if self.living.len() <= count {
-            some.clone_from(&self.living);
-            self.chance.shuffle(&mut some);
+    /// Up to `count` different members that are alive or suspect, drawn at random.
+    pub(crate) fn sample_up(&mut self, count: usize) -> Vec<MemberId> {
+        let mut sample: Vec<MemberId> = Vec::with_capacity(count);
+        if self.up_members.len() <= count {
+            sample.clone_from(&self.up_members);
+            self.rng.shuffle(&mut sample);
         }
-        while some.len() < count.min(self.living.len()) {
-            let id = self.living[self.chance.below(self.living.len())];
-            if !some.contains(&id) {
-                some.push(id);
+        while sample.len() < count.min(self.up_members.len()) {
+            let id = self.up_members[self.rng.below(self.up_members.len())];
+            if !sample.contains(&id) {
+                sample.push(id);
             }
         }
-        some
+        sample
     }
 
-    /// Alive and suspect ones, this member included.
-    pub(crate) fn count(&self) -> usize {
-        1 + self.living.len()
+    /// The number of members that are alive or suspect, this one included.
+    pub(crate) fn cluster_size(&self) -> usize {
+        1 + self.up_members.len()
     }
 }
--- a/membership/src/probe.rs
+++ b/membership/src/probe.rs
@@ -1,208 +1,226 @@
-//! Probes: direct, then by helpers, then by the second way; only when all fail is a member suspected.
+//! Probes: a direct one, then through helpers, then over a connection. A member is suspected only when all of
+//! them fail.
 
 use crate::ids::{DialId, InstanceId, MemberId};
-use crate::machine::Members;
+use crate::members::Members;
 use crate::message::{Body, Sender, State};
 use crate::view::{Effects, Reachability};
 use ottersail::time::Ms;
 
-/// Parts of a period, each stretched by the local health: helpers are asked no later than the first, the
-/// second way is tried at the second, the verdict falls at the third.
-const HELP_BY: f64 = 0.3;
+// Stages of a probe as fractions of a period, each scaled by the local health.
+
+/// Helpers are asked at this point at the latest.
+const HELPERS_AT: f64 = 0.3;
+/// The target is dialled at this point.
 const DIAL_AT: f64 = 0.45;
-const VERDICT_AT: f64 = 0.85;
-/// Probes that run at once.
-const MOST_PROBES: usize = 8;
-/// Probes at once after one that failed while many are in trouble.
-const MORE: usize = 2;
+/// The probe ends at this point.
+const CONCLUDE_AT: f64 = 0.85;
+/// Probes that run at the same time.
+const MAX_PROBES: usize = 8;
+/// Extra probes that are started after one that failed while several members are failing.
+const EXTRA_PROBES: usize = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     Direct,
     Helpers,
-    SecondWay,
+    Dial,
 }
 
+/// A probe of another member that is under way.
 pub(crate) struct Probe {
     pub target: MemberId,
     pub instance: InstanceId,
     pub sent: Ms,
+    /// When the next stage begins.
     pub due: Ms,
     pub stage: Stage,
     pub helpers: Vec<MemberId>,
+    /// Helpers that reported that the target has not answered them.
     pub nacks: Vec<MemberId>,
-    /// Others or the second way have answered, and whether they say that the target hears this member.
-    pub vouched: Option<bool>,
+    /// Set once a helper or the connection has shown that the target is running; true if a helper reported
+    /// that the target receives this member's datagrams.
+    pub indirect_answer: Option<bool>,
 }
 
 impl Members {
-    pub(crate) fn number(&mut self) -> u32 {
-        self.last_number = self.last_number.wrapping_add(1);
-        self.last_number
+    pub(crate) fn next_probe_number(&mut self) -> u32 {
+        self.last_probe_number = self.last_probe_number.wrapping_add(1);
+        self.last_probe_number
     }
 
-    /// The next of the round; a round is shuffled anew when it is through.
-    pub(crate) fn probe_next(&mut self, now: Ms, out: &mut dyn Effects) {
+    /// Probes the next member of the round. Each round goes through all members that are up, in a newly
+    /// shuffled order.
+    pub(crate) fn probe_next(&mut self, now: Ms, effects: &mut dyn Effects) {
         if self.passive() {
             return;
         }
-        while let Some(id) = self.round.pop() {
-            if self.peers.get(&id).is_some_and(|peer| peer.up()) {
-                return self.probe(now, id, out);
+        while let Some(id) = self.probe_order.pop() {
+            if self.peers.get(&id).is_some_and(|peer| peer.is_up()) {
+                return self.probe(now, id, effects);
             }
         }
-        self.round.clone_from(&self.living);
-        self.chance.shuffle(&mut self.round);
-        if let Some(id) = self.round.pop() {
-            self.probe(now, id, out);
+        self.probe_order.clone_from(&self.up_members);
+        self.rng.shuffle(&mut self.probe_order);
+        if let Some(id) = self.probe_order.pop() {
+            self.probe(now, id, effects);
         }
     }
 
-    pub(crate) fn probe(&mut self, now: Ms, target: MemberId, out: &mut dyn Effects) {
+    /// Starts a probe, unless one of this target runs or the limit is reached.
+    pub(crate) fn probe(&mut self, now: Ms, target: MemberId, effects: &mut dyn Effects) {
         let running = self.probes.values().any(|probe| probe.target == target);
         let Some(peer) = self.peers.get(&target) else { return };
-        if running || self.probes.len() >= MOST_PROBES {
+        if running || self.probes.len() >= MAX_PROBES {
             return;
         }
-        let (instance, address) = (peer.known.instance, peer.known.address);
-        let wait = self.round_trip.max(self.terms.probe_period * 0.05).min(self.terms.probe_period * HELP_BY);
-        let due = now + wait * self.patience();
+        let (instance, address) = (peer.view.instance, peer.view.address);
+        let period = self.config.probe_period;
+        let wait = self.ack_timeout.max(period * 0.05).min(period * HELPERS_AT);
+        let due = now + wait * self.health_multiplier();
         let (helpers, nacks) = (Vec::new(), Vec::new());
-        let number = self.number();
+        let number = self.next_probe_number();
         let stage = Stage::Direct;
-        let probe = Probe { target, instance, sent: now, due, stage, helpers, nacks, vouched: None };
+        let probe = Probe { target, instance, sent: now, due, stage, helpers, nacks, indirect_answer: None };
         self.probes.insert(number, probe);
         self.counters.probes += 1;
-        self.say_to(target, address, Body::Probe { number, to: target, instance }, out);
+        self.send_to_member(target, address, Body::Probe { number, to: target, instance }, effects);
     }
 
-    pub(crate) fn mind_probes(&mut self, now: Ms, out: &mut dyn Effects) {
-        let due: Vec<u32> = self.probes.iter().filter(|(_, it)| it.due <= now).map(|(it, _)| *it).collect();
+    /// Moves each probe that is due to its next stage.
+    pub(crate) fn advance_probes(&mut self, now: Ms, effects: &mut dyn Effects) {
+        let due: Vec<u32> =
+            self.probes.iter().filter(|(_, probe)| probe.due <= now).map(|(number, _)| *number).collect();
         for number in due {
             let Some(stage) = self.probes.get(&number).map(|probe| probe.stage) else { continue };
             match stage {
-                Stage::Direct => self.ask_helpers(number, out),
-                Stage::Helpers => self.try_second_way(number, out),
-                Stage::SecondWay => self.verdict(now, number, out),
+                Stage::Direct => self.ask_helpers(number, effects),
+                Stage::Helpers => self.dial_target(number, effects),
+                Stage::Dial => self.conclude_probe(now, number, effects),
             }
         }
     }
 
-    fn ask_helpers(&mut self, number: u32, out: &mut dyn Effects) {
-        let Some((target, instance)) = self.probes.get(&number).map(|it| (it.target, it.instance)) else {
-            return;
-        };
-        let Some(at) = self.peers.get(&target).map(|peer| peer.known.address) else { return };
-        let mut helpers = self.some_living(self.terms.helpers + 1);
-        helpers.retain(|id| *id != target && self.peers[id].known.state == State::Alive);
-        helpers.truncate(self.terms.helpers);
-        let until = self.terms.probe_period * DIAL_AT * self.patience();
+    fn ask_helpers(&mut self, number: u32, effects: &mut dyn Effects) {
+        let probe = self.probes.get(&number);
+        let Some((target, instance)) = probe.map(|probe| (probe.target, probe.instance)) else { return };
+        let Some(address) = self.peers.get(&target).map(|peer| peer.view.address) else { return };
+        let mut helpers = self.sample_up(self.config.helpers + 1);
+        helpers.retain(|id| *id != target && self.peers[id].view.state == State::Alive);
+        helpers.truncate(self.config.helpers);
+        let until = self.config.probe_period * DIAL_AT * self.health_multiplier();
         if let Some(probe) = self.probes.get_mut(&number) {
             probe.stage = Stage::Helpers;
             probe.due = probe.sent + until;
             probe.helpers.clone_from(&helpers);
         }
-        self.say_to(target, at, Body::Probe { number, to: target, instance }, out);
+        self.send_to_member(target, address, Body::Probe { number, to: target, instance }, effects);
         for id in helpers {
-            self.say_to(
-                id,
-                self.peers[&id].known.address,
-                Body::ProbeFor { number, target, instance, at },
-                out,
-            );
+            let request = Body::ProbeRequest { number, target, instance, address };
+            self.send_to_member(id, self.peers[&id].view.address, request, effects);
         }
     }
 
-    fn try_second_way(&mut self, number: u32, out: &mut dyn Effects) {
-        let until = self.terms.probe_period * VERDICT_AT * self.patience();
+    fn dial_target(&mut self, number: u32, effects: &mut dyn Effects) {
+        let until = self.config.probe_period * CONCLUDE_AT * self.health_multiplier();
         let Some(probe) = self.probes.get_mut(&number) else { return };
-        probe.stage = Stage::SecondWay;
+        probe.stage = Stage::Dial;
         probe.due = probe.sent + until;
-        if probe.vouched.is_none() {
-            if let Some(address) = self.peers.get(&probe.target).map(|peer| peer.known.address) {
+        if probe.indirect_answer.is_none() {
+            if let Some(address) = self.peers.get(&probe.target).map(|peer| peer.view.address) {
                 self.counters.dials += 1;
-                out.dial(address, DialId(u64::from(number)));
+                effects.dial(address, DialId(u64::from(number)));
             }
         }
     }
 
-    fn verdict(&mut self, now: Ms, number: u32, out: &mut dyn Effects) {
+    fn conclude_probe(&mut self, now: Ms, number: u32, effects: &mut dyn Effects) {
         let Some(probe) = self.probes.remove(&number) else { return };
-        // Helpers that say nothing at all are a sign that this member itself hears badly.
+        // Helpers that do not even send a nack are a sign that this member itself does not receive well.
         let silent = probe.helpers.len().saturating_sub(probe.nacks.len());
-        if let Some(hears_me) = probe.vouched {
-            return self.answered_by_others(now, probe.target, hears_me, out);
-        }
-        let hears = self.any_heard > probe.sent;
-        let many = hears && self.many_in_trouble(now, probe.target);
-        // Guards against doubting oneself for helpers that died along with the target: where
-        // others are heard and
-        // many are in trouble, silence is theirs. Doubt would slow the finding of the other deaths ninefold.
-        if !many {
-            self.worse(if probe.helpers.is_empty() { 1 } else { silent as u32 });
-        }
-        let reachability = if self.hears(now, probe.target, 3.0) {
+        if let Some(hears_me) = probe.indirect_answer {
+            return self.set_indirect_reachability(now, probe.target, hears_me, effects);
+        }
+        let receives = self.last_datagram_at > probe.sent;
+        let several_failing = receives && self.several_failing(now, probe.target);
+        // Helpers may be silent because they died along with the target: where this member receives from
+        // others and several members are failing, it does not doubt its own health. Doing so would slow down
+        // the detection of the other deaths up to ninefold.
+        if !several_failing {
+            self.degrade_health(if probe.helpers.is_empty() { 1 } else { silent as u32 });
+        }
+        let reachability = if self.heard_within(now, probe.target, 3.0) {
             Reachability::InboundOnly
         } else {
             Reachability::Unreachable
         };
-        self.set_reachability(probe.target, reachability, out);
+        self.set_reachability(probe.target, reachability, effects);
         let Some(peer) = self.peers.get(&probe.target) else { return };
-        if peer.known.instance == probe.instance && peer.up() {
+        if peer.view.instance == probe.instance && peer.is_up() {
             self.counters.suspicions += 1;
-            let me = self.terms.local.id;
-            self.suspect(now, probe.target, Some(me), out);
-            if many {
-                self.probe_more(now, out);
-            } else if hears {
-                // Guards against burying one that stood still and is heard by nobody: it can't contradict.
-                self.probe(now, probe.target, out);
+            let own_id = self.config.local.id;
+            self.suspect(now, probe.target, Some(own_id), effects);
+            if several_failing {
+                self.probe_extra(now, effects);
+            } else if receives {
+                // A target that was only paused, and that nobody hears, could not refute the suspicion: a
+                // second probe finds it running again.
+                self.probe(now, probe.target, effects);
             }
         }
     }
 
-    /// Guards against deaths of many at once that are found one a period: more of the round are probed.
-    fn probe_more(&mut self, now: Ms, out: &mut dyn Effects) {
-        for _ in 0..MORE {
-            while let Some(id) = self.round.pop() {
-                if self.peers.get(&id).is_some_and(|peer| peer.known.state == State::Alive) {
-                    self.probe(now, id, out);
+    /// Probes more members of the round, so that simultaneous deaths are not detected one per period.
+    fn probe_extra(&mut self, now: Ms, effects: &mut dyn Effects) {
+        for _ in 0..EXTRA_PROBES {
+            while let Some(id) = self.probe_order.pop() {
+                if self.peers.get(&id).is_some_and(|peer| peer.view.state == State::Alive) {
+                    self.probe(now, id, effects);
                     break;
                 }
             }
         }
     }
 
-    pub(crate) fn acked(&mut self, now: Ms, from: Sender, number: u32, out: &mut dyn Effects) {
-        let known =
-            self.probes.get(&number).is_some_and(|it| it.target == from.id && it.instance == from.instance);
+    pub(crate) fn handle_ack(&mut self, now: Ms, from: Sender, number: u32, effects: &mut dyn Effects) {
+        let known = self
+            .probes
+            .get(&number)
+            .is_some_and(|probe| probe.target == from.id && probe.instance == from.instance);
         let Some(probe) = self.probes.remove(&number).filter(|_| known) else {
             self.counters.unexpected += 1;
             return;
         };
         self.counters.acks += 1;
-        self.better();
+        self.improve_health();
         if probe.stage == Stage::Direct {
-            // Waits for four times the smoothed round trip.
-            self.round_trip = self.round_trip * 0.875 + (now - probe.sent) * 0.5;
+            // The timeout is four times the smoothed round trip.
+            self.ack_timeout = self.ack_timeout * 0.875 + (now - probe.sent) * 0.5;
         }
         if let Some(peer) = self.peers.get_mut(&from.id) {
-            peer.acked = now;
+            peer.last_ack = now;
         }
-        self.set_reachability(from.id, Reachability::Mutual, out);
+        self.set_reachability(from.id, Reachability::Mutual, effects);
     }
 
-    pub(crate) fn vouched(&mut self, now: Ms, number: u32, hears_me: bool, out: &mut dyn Effects) {
+    /// A helper or the connection has shown that the target is running.
+    pub(crate) fn handle_forwarded_ack(
+        &mut self,
+        now: Ms,
+        number: u32,
+        hears_me: bool,
+        effects: &mut dyn Effects,
+    ) {
         let Some(probe) = self.probes.get_mut(&number) else {
             self.counters.unexpected += 1;
             return;
         };
-        probe.vouched = Some(probe.vouched.unwrap_or(false) || hears_me);
+        probe.indirect_answer = Some(probe.indirect_answer.unwrap_or(false) || hears_me);
         let (target, instance) = (probe.target, probe.instance);
-        self.speak_for(now, target, instance, out);
+        self.refute_for(now, target, instance, effects);
     }
 
-    pub(crate) fn nacked(&mut self, from: MemberId, number: u32) {
+    pub(crate) fn handle_forwarded_nack(&mut self, from: MemberId, number: u32) {
         self.counters.nacks += 1;
         if let Some(probe) = self.probes.get_mut(&number) {
             if probe.helpers.contains(&from) && !probe.nacks.contains(&from) {
@@ -211,10 +229,10 @@
         }
     }
 
-    pub(crate) fn dial_answered(&mut self, now: Ms, tag: DialId, up: bool, out: &mut dyn Effects) {
-        let number = u32::try_from(tag.0).ok().filter(|it| up && self.probes.contains_key(it));
-        if let Some(number) = number {
-            self.vouched(now, number, false, out);
+    pub(crate) fn handle_dial(&mut self, now: Ms, id: DialId, up: bool, effects: &mut dyn Effects) {
+        let number = u32::try_from(id.0).ok();
+        if let Some(number) = number.filter(|number| up && self.probes.contains_key(number)) {
+            self.handle_forwarded_ack(now, number, false, effects);
         }
     }
 }
--- a/membership/tests/direct/hands.rs
+++ b/membership/tests/direct/hands.rs
@@ -7,13 +7,13 @@
 };
 
 #[derive(Default)]
-pub struct Sink {
+pub struct RecordedEffects {
     pub sent: Vec<(Address, Message)>,
     pub dials: Vec<(Address, DialId)>,
     pub changes: Vec<Change>,
 }
 
-impl Effects for Sink {
+impl Effects for RecordedEffects {
     fn send(&mut self, to: Address, message: &Message) {
         self.sent.push((to, message.clone()));
     }
@@ -30,7 +30,7 @@
     Address::new([127, 0, 0, at].into(), 7000)
 }
 
-pub fn me(name: &str, at: u8) -> LocalMember {
+pub fn local_member(name: &str, at: u8) -> LocalMember {
     let id = MemberId::of("north", name);
     LocalMember {
         name: name.into(),
@@ -42,18 +42,18 @@
 }
 
 pub fn sender(at: u8) -> Sender {
-    let LocalMember { id, instance, address, .. } = me(&format!("m{at}"), at);
+    let LocalMember { id, instance, address, .. } = local_member(&format!("m{at}"), at);
     Sender { id, instance, address }
 }
 
-pub fn news(at: u8, state: State, incarnation: u32) -> Update {
-    let LocalMember { name, id, instance, address, site } = me(&format!("m{at}"), at);
-    let place = Some(MemberInfo { name, address, site });
-    Update { about: id, instance, incarnation: Incarnation(incarnation), state, by: None, place }
+pub fn update(at: u8, state: State, incarnation: u32) -> Update {
+    let LocalMember { name, id, instance, address, site } = local_member(&format!("m{at}"), at);
+    let info = Some(MemberInfo { name, address, site });
+    Update { member: id, instance, incarnation: Incarnation(incarnation), state, reported_by: None, info }
 }
 
-pub fn gossip(news: Vec<Update>) -> Message {
-    Message { incarnation: Incarnation(0), body: Body::Gossip, updates: news, piggybacks: Vec::new() }
+pub fn gossip(updates: Vec<Update>) -> Message {
+    Message { incarnation: Incarnation(0), body: Body::Gossip, updates, piggybacks: Vec::new() }
 }
 
 pub fn body(body: Body) -> Message {
@@ -61,14 +61,14 @@
 }
 
 /// Member 1 that knows 2 and 3, not yet rung.
-pub fn one(terms: impl FnOnce(&mut MembershipConfig)) -> (Members, Sink) {
-    let mut own = MembershipConfig::new(me("m1", 1), vec![address(2)]);
-    terms(&mut own);
+pub fn member_knowing_two(config: impl FnOnce(&mut MembershipConfig)) -> (Members, RecordedEffects) {
+    let mut own = MembershipConfig::new(local_member("m1", 1), vec![address(2)]);
+    config(&mut own);
     let mut members = Members::new(Ms(0.0), 1, own);
-    let mut sink = Sink::default();
-    let all = vec![news(2, State::Alive, 0), news(3, State::Alive, 0)];
-    members.handle_message(Ms(0.0), sender(2), gossip(all), &mut sink);
-    (members, sink)
+    let mut effects = RecordedEffects::default();
+    let all = vec![update(2, State::Alive, 0), update(3, State::Alive, 0)];
+    members.handle_message(Ms(0.0), sender(2), gossip(all), &mut effects);
+    (members, effects)
 }
 
 pub fn state(members: &Members, at: u8) -> Option<State> {
@@ -77,12 +77,12 @@
 }
 
 /// Rings until it probes that member, and gives the probe's number.
-pub fn probe_of(members: &mut Members, sink: &mut Sink, now: &mut f64, at: u8) -> u32 {
+pub fn run_until_probe(members: &mut Members, effects: &mut RecordedEffects, now: &mut f64, at: u8) -> u32 {
     for _ in 0..100 {
         *now = members.next_deadline().0;
-        sink.sent.clear();
-        members.handle_deadline(Ms(*now), sink);
-        for (to, message) in &sink.sent {
+        effects.sent.clear();
+        members.handle_deadline(Ms(*now), effects);
+        for (to, message) in &effects.sent {
             if let Body::Probe { number, .. } = message.body {
                 if *to == address(at) {
                     return number;
@@ -94,8 +94,8 @@
 }
 
 /// Rings whenever the bell is due.
-pub fn run_to(members: &mut Members, sink: &mut Sink, until: f64) {
+pub fn run_to(members: &mut Members, effects: &mut RecordedEffects, until: f64) {
     while members.next_deadline().0 <= until {
-        members.handle_deadline(members.next_deadline(), sink);
+        members.handle_deadline(members.next_deadline(), effects);
     }
 }
--- a/membership/tests/sim/node.rs
+++ b/membership/tests/sim/node.rs
@@ -1,4 +1,4 @@
-//! One simulated member: its machine, its troubles, and what it did.
+//! One simulated member: its state machine, its faults, and a record of what it did.
 
 use super::{address, Event};
 use ottersail::time::Ms;
@@ -7,38 +7,43 @@
     Sender, State, StateChangeReason, Topic,
 };
 
-/// What the auth adds to a message, and UDP over IPv4, in bytes.
-const SEAL: usize = 49;
-const HEADERS: usize = 28;
+/// Bytes that `DatagramAuth` adds to a message.
+const AUTH_BYTES: usize = 49;
+/// Bytes of the headers of UDP and IPv4.
+const HEADER_BYTES: usize = 28;
 
-pub enum Out {
+pub enum Output {
     Send(Address, Message),
     Dial(Address, DialId),
 }
 
 pub struct Node {
+    /// `None` while the member is crashed.
     pub members: Option<Members>,
     pub cluster: String,
     pub name: String,
     pub id: MemberId,
     pub instance: InstanceId,
+    /// Counts starts and crashes, so that events of an earlier run are dropped.
     pub generation: u32,
     pub paused_until: f64,
     /// Gets no CPU for the first `.1` of every `.0` ms.
     pub starved: Option<(f64, f64)>,
     pub bytes: usize,
     pub sent: usize,
+    /// Bytes of the longest datagram.
     pub longest: usize,
     pub changes: Vec<(f64, Change)>,
-    pub heard: Vec<(MemberId, Topic, Vec<u8>)>,
+    pub delivered: Vec<(MemberId, Topic, Vec<u8>)>,
     seeds: Vec<Address>,
-    at: usize,
-    bell: Option<f64>,
-    outs: Vec<Out>,
+    index: usize,
+    /// When the queued timer is due.
+    timer: Option<f64>,
+    outputs: Vec<Output>,
 }
 
 impl Node {
-    pub fn new(at: usize, cluster: &str, name: &str, seeds: Vec<Address>) -> Node {
+    pub fn new(index: usize, cluster: &str, name: &str, seeds: Vec<Address>) -> Node {
         Node {
             members: None,
             cluster: cluster.into(),
@@ -52,27 +57,28 @@
             sent: 0,
             longest: 0,
             changes: Vec::new(),
-            heard: Vec::new(),
+            delivered: Vec::new(),
             seeds,
-            at,
-            bell: None,
-            outs: Vec::new(),
+            index,
+            timer: None,
+            outputs: Vec::new(),
         }
     }
 
-    /// Each member's clock has a beginning of its own.
+    /// The member's own clock: each starts at another value.
     fn clock(&self, now: f64) -> Ms {
-        Ms(now + 1000.0 * self.at as f64)
+        Ms(now + 1000.0 * self.index as f64)
     }
 
     pub fn start(&mut self, now: f64, seed: u64) {
-        self.instance = InstanceId(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ self.at as u64);
+        self.instance = InstanceId(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ self.index as u64);
         self.generation += 1;
         let (name, site) = (self.name.clone(), "hall".into());
-        let me = LocalMember { name, id: self.id, instance: self.instance, address: address(self.at), site };
-        let terms = MembershipConfig::new(me, self.seeds.clone());
-        self.members = Some(Members::new(self.clock(now + 100.0), seed, terms));
-        self.bell = None;
+        let local =
+            LocalMember { name, id: self.id, instance: self.instance, address: address(self.index), site };
+        let config = MembershipConfig::new(local, self.seeds.clone());
+        self.members = Some(Members::new(self.clock(now + 100.0), seed, config));
+        self.timer = None;
     }
 
     pub fn crash(&mut self) {
@@ -81,9 +87,10 @@
     }
 
     pub fn sender(&self) -> Sender {
-        Sender { id: self.id, instance: self.instance, address: address(self.at) }
+        Sender { id: self.id, instance: self.instance, address: address(self.index) }
     }
 
+    /// When the node next gets CPU time.
     pub fn free_at(&self, now: f64) -> f64 {
         let starved = self.starved.map_or(now, |(every, span)| {
             let into = now % every;
@@ -96,75 +103,77 @@
         starved.max(self.paused_until)
     }
 
-    pub fn take(&mut self, now: f64, event: Event) -> Vec<Out> {
-        if matches!(event, Event::Bell) {
-            self.bell = None;
+    pub fn handle(&mut self, now: f64, event: Event) -> Vec<Output> {
+        if matches!(event, Event::Timer) {
+            self.timer = None;
         }
-        self.ask(now, |members, at, hands| match event {
-            Event::Bell if members.next_deadline() <= at => members.handle_deadline(at, hands),
-            Event::Bell => {}
-            Event::Message { from, message } => members.handle_message(at, from, message, hands),
-            Event::Dialled { tag, up } => members.handle_dial_result(at, tag, up, hands),
+        self.call(now, |members, time, effects| match event {
+            Event::Timer if members.next_deadline() <= time => members.handle_deadline(time, effects),
+            Event::Timer => {}
+            Event::Message { from, message } => members.handle_message(time, from, message, effects),
+            Event::DialResult { id, up } => members.handle_dial_result(time, id, up, effects),
         })
     }
 
-    pub fn ask(&mut self, now: f64, what: impl FnOnce(&mut Members, Ms, &mut dyn Effects)) -> Vec<Out> {
-        let at = self.clock(now);
+    /// Calls the state machine, if the member is running, and returns what it requested.
+    pub fn call(&mut self, now: f64, input: impl FnOnce(&mut Members, Ms, &mut dyn Effects)) -> Vec<Output> {
+        let time = self.clock(now);
         let Some(mut members) = self.members.take() else { return Vec::new() };
-        what(&mut members, at, &mut Hands { now, node: self });
+        input(&mut members, time, &mut RecordedEffects { now, node: self });
         self.members = Some(members);
-        std::mem::take(&mut self.outs)
+        std::mem::take(&mut self.outputs)
     }
 
-    /// When a bell has to be queued, if it is sooner than the one that is.
-    pub fn next_bell(&mut self) -> Option<f64> {
-        let due = self.members.as_ref()?.next_deadline().0 - 1000.0 * self.at as f64;
-        if !due.is_finite() || self.bell.is_some_and(|bell| bell <= due) {
+    /// When a timer has to be queued, if that is sooner than the queued one.
+    pub fn next_timer(&mut self) -> Option<f64> {
+        let due = self.members.as_ref()?.next_deadline().0 - 1000.0 * self.index as f64;
+        if !due.is_finite() || self.timer.is_some_and(|timer| timer <= due) {
             return None;
         }
-        self.bell = Some(due);
+        self.timer = Some(due);
         Some(due)
     }
 
-    /// Changes of others' states into this one since a time.
-    pub fn turns(&self, since: f64, into: State) -> usize {
-        let turn = |(at, change): &&(f64, Change)| match change {
-            Change::State { is, .. } => *at >= since && *is == into,
+    /// Counts the changes of other members into this state since a time.
+    pub fn changes_into(&self, since: f64, into: State) -> usize {
+        let matches = |(when, change): &&(f64, Change)| match change {
+            Change::State { is, .. } => *when >= since && *is == into,
             _ => false,
         };
-        self.changes.iter().filter(turn).count()
+        self.changes.iter().filter(matches).count()
     }
 
-    pub fn buried(&self, about: MemberId, since: f64) -> Option<(f64, StateChangeReason)> {
-        self.changes.iter().find_map(|(at, change)| match change {
-            Change::State { id, is: State::Dead, why, .. } if *id == about && *at >= since => {
-                Some((*at, *why))
+    /// When, since a time, this node first considered the member dead, and why.
+    pub fn death_of(&self, member: MemberId, since: f64) -> Option<(f64, StateChangeReason)> {
+        self.changes.iter().find_map(|(when, change)| match change {
+            Change::State { id, is: State::Dead, why, .. } if *id == member && *when >= since => {
+                Some((*when, *why))
             }
             _ => None,
         })
     }
 }
 
-struct Hands<'a> {
+struct RecordedEffects<'a> {
     now: f64,
     node: &'a mut Node,
 }
 
-impl Effects for Hands<'_> {
+impl Effects for RecordedEffects<'_> {
     fn send(&mut self, to: Address, message: &Message) {
         let bytes = postcard::to_allocvec(message).map_or(0, |bytes| bytes.len());
-        self.node.longest = self.node.longest.max(bytes + SEAL);
-        self.node.bytes += bytes + SEAL + HEADERS;
+        self.node.longest = self.node.longest.max(bytes + AUTH_BYTES);
+        self.node.bytes += bytes + AUTH_BYTES + HEADER_BYTES;
         self.node.sent += 1;
-        self.node.outs.push(Out::Send(to, message.clone()));
+        self.node.outputs.push(Output::Send(to, message.clone()));
     }
 
-    fn dial(&mut self, to: Address, tag: DialId) {
-        self.node.outs.push(Out::Dial(to, tag));
+    fn dial(&mut self, to: Address, id: DialId) {
+        self.node.outputs.push(Output::Dial(to, id));
     }
 
     fn deliver(&mut self, from: MemberId, topic: Topic, bytes: &[u8]) {
-        self.node.heard.push((from, topic, bytes.to_vec()));
+        self.node.delivered.push((from, topic, bytes.to_vec()));
     }
 
     fn changed(&mut self, change: &Change) {
