--- a/bench-adapter/src/wire/errors.rs
+++ b/bench-adapter/src/wire/errors.rs
@@ -1,6 +1,6 @@
 //! What ends the conversation. Each text says what is wrong, in which line, and what an operator can try.
 
-use ottersail_platform::errors::LoadError;
+use ottersail_platform::errors::LoadReportError;
 use std::io;
 use thiserror::Error;
 
@@ -23,7 +23,7 @@
     #[error("read '{read}', expected a settings object ({source}); send the object whole and in one line")]
     Settings { read: String, source: serde_json::Error },
     #[error(transparent)]
-    Load(#[from] LoadError),
+    Load(#[from] LoadReportError),
     #[error(
         "the line could not be read: {0}; send UTF-8, and leave standard input open up to the last FLUSH"
     )]
--- a/bench-adapter/src/wire/errors/tests.rs
+++ b/bench-adapter/src/wire/errors/tests.rs
@@ -14,7 +14,7 @@
 )]
 #[test_case(settings(), ["read '{', expected a settings object", "send the object whole"]; "settings")]
 #[test_case(
-    Flaw::from(LoadError { pair: 2, read: "x".into() }),
+    Flaw::from(LoadReportError { pair: 2, found: "x".into() }),
     ["read 'x', expected name:value in pair 2", "let its sender write"];
     "load"
 )]
--- a/bench-adapter/src/wire/host.rs
+++ b/bench-adapter/src/wire/host.rs
@@ -8,8 +8,8 @@
 use ottersail::placement::Placement;
 use ottersail::state::{Entry, ListMode, Topic, Wish};
 use ottersail::time::Ms;
-use ottersail_platform::errors::shown;
-use ottersail_platform::load::load;
+use ottersail_platform::errors::excerpt;
+use ottersail_platform::load_report::parse_load_report;
 use ottersail_platform::terms::read_terms;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
@@ -69,8 +69,8 @@
         if name == "BORN" {
             let seed = values.number("salt")?;
             let conf = values.remainder("conf")?;
-            let conf =
-                serde_json::from_str(conf).map_err(|source| Flaw::Settings { read: shown(conf), source })?;
+            let conf = serde_json::from_str(conf)
+                .map_err(|source| Flaw::Settings { read: excerpt(conf), source })?;
             self.ever_born.insert(instance.to_string());
             self.placements.insert(instance.to_string(), Placement::born(now, seed, read_terms(&conf), out));
             return Ok(());
@@ -188,7 +188,7 @@
                 let ending = outcome(values.text("ending")?)?;
                 values.optional::<i64>("elapsed-ns")?;
                 let last = values.optional::<u8>("last")? == Some(1);
-                let load = load(values.text("load")?)?;
+                let load = parse_load_report(values.text("load")?)?;
                 values.end()?;
                 placement.answer(now, &vw, no, &server, ending, last, load, out);
             }
@@ -201,7 +201,7 @@
                 let server = values.text("server")?.into();
                 let ending = outcome(values.text("ending")?)?;
                 values.optional::<i64>("elapsed-ns")?;
-                let load = load(values.text("load")?)?;
+                let load = parse_load_report(values.text("load")?)?;
                 values.end()?;
                 placement.echo(now, &server, ending, load, out);
             }
--- a/bench-adapter/src/wire/values.rs
+++ b/bench-adapter/src/wire/values.rs
@@ -4,13 +4,13 @@
 use ottersail::ids::Cell;
 use ottersail::state::{Availability, Entry, Outcome};
 use ottersail::time::Ms;
-use ottersail_platform::errors::shown;
+use ottersail_platform::errors::excerpt;
 use std::str::FromStr;
 
 pub type Read<T> = Result<T, Flaw>;
 
 pub fn wanted<T>(read: &str, expected: &'static str) -> Read<T> {
-    Err(Flaw::Wanted { read: shown(read), expected })
+    Err(Flaw::Wanted { read: excerpt(read), expected })
 }
 
 /// The values of one line, taken in order.
