--- a/bench/src/library.rs
+++ b/bench/src/library.rs
@@ -1,8 +1,8 @@
 //! The front on a fake clock: the cost of a decision, and what is left in memory.
 
 use crate::errors::BenchError;
-use ottersail_daemon::run::house;
-use ottersail_daemon::settings::manager::{read_manager, Manager};
+use ottersail_daemon::run::front_settings;
+use ottersail_daemon::settings::manager::{parse_manager, ManagerSettings};
 use ottersail_front::decisions::Decisions;
 use ottersail_front::ids::{Rung, ServerId, ViewingId};
 use ottersail_front::terms::Terms;
@@ -21,7 +21,12 @@
     #EXTINF:2,\ns5.m4s\n#EXTINF:2,\ns6.m4s\n#EXTINF:2,\ns7.m4s\n#EXT-X-ENDLIST\n";
 
 /// Settings of a manager before so many servers, links sized for a held viewing in a thousand.
-pub fn manager(servers: usize, listen: &str, list: &str, link_kb: f64) -> Result<Manager, BenchError> {
+pub fn manager(
+    servers: usize,
+    listen: &str,
+    list: &str,
+    link_kb: f64,
+) -> Result<ManagerSettings, BenchError> {
     let text = format!(
         "[manager]\nnumber = 0\nmanagers = 1\nzone = a\nlisten = {listen}\nkeys = keys\n\
          most-waiting = 100000\nmost-watches = 1000000\nconnections = 50000\n[list]\naddress = {list}\n\
@@ -31,7 +36,7 @@
          fall-multiple = 3\nfall-ms = 1000\nmax-tune-ins = 3\nmax-stay-away-ms = 1000\n\
          [package clips]\nvalue = 1\njoin-target-ms = 800\nrepeat = safe\n"
     );
-    read_manager(Path::new("bench"), &text).map_err(|it| BenchError::Settings(it.join("; ")))
+    parse_manager(Path::new("bench"), &text).map_err(|it| BenchError::Settings(it.join("; ")))
 }
 
 pub fn keys() -> Result<Keys, BenchError> {
@@ -110,7 +115,7 @@
     ) -> Result<Bed, BenchError> {
         let manager = manager(servers, "127.0.0.1:1", "127.0.0.1:1", link_kb)?;
         let mut out = Out::default();
-        let house = house(&manager, keys()?);
+        let house = front_settings(&manager, keys()?);
         let mut front = Front::with(Ms(1e6), manager.terms, house, &mut out, decisions);
         let list: Vec<Listed> =
             (0..servers).map(|it| listed(it, format!("127.0.0.1:{}", 1000 + it))).collect();
--- a/bench/src/loopback.rs
+++ b/bench/src/loopback.rs
@@ -106,7 +106,7 @@
 
 /// One rate, its figures on standard output.
 pub fn at_rate(pick: &str, rate: f64, seconds: f64, servers: usize, cores: usize) -> Result<(), BenchError> {
-    ottersail_daemon::run::raise_files(0);
+    ottersail_daemon::run::raise_open_file_limit(0);
     let shown = run(pick, rate, seconds, (servers, cores))?;
     println!("{}", shown.figures().map(|it| it.to_string()).join(" "));
     Ok(())
--- a/bench/src/managing.rs
+++ b/bench/src/managing.rs
@@ -3,7 +3,7 @@
 use crate::errors::BenchError;
 use crate::library::{keys, manager};
 use crate::timed::Timed;
-use ottersail_daemon::run::{house, start};
+use ottersail_daemon::run::{front_settings, start};
 use ottersail_front::baseline::{Baseline, Pick};
 use ottersail_front::decisions::Decisions;
 use ottersail_front::{Front, Ms, Placement};
@@ -24,7 +24,7 @@
 /// A manager until its input ends; then microseconds of CPU a set-up, in all, in its front, in the decisions,
 /// and how many viewings it holds, on standard output.
 pub fn manage(pick: &str, servers: usize, cores: usize, address: &str, list: &str) -> Result<(), BenchError> {
-    ottersail_daemon::run::raise_files(0);
+    ottersail_daemon::run::raise_open_file_limit(0);
     let mut manager = manager(servers, address, list, 2_000_000.0)?;
     manager.cores = cores;
     let clock = Clock::start();
@@ -34,8 +34,8 @@
     let front = Front::with(
         Ms(clock.now()),
         manager.terms.clone(),
-        house(&manager, keys()?),
-        &mut ottersail_daemon::run::NoOrders,
+        front_settings(&manager, keys()?),
+        &mut ottersail_daemon::run::DiscardOutput,
         move |terms, out| {
             let of: Box<dyn Decisions> = if random {
                 Box::new(Baseline::new(terms, Pick::LowestRung, 1))
@@ -55,9 +55,9 @@
     let before = cpu();
     block_on(exec.run(until(stopped)));
     let owner = &running.owner;
-    let (held, count) = owner.front(|it| (it.viewings(), it.counts().asked.max(1)));
+    let (held, count) = owner.with_front(|it| (it.viewings(), it.counts().asked.max(1)));
     let each = |it: Duration| it.as_secs_f64() * 1e6 / count as f64;
-    println!("{} {} {} {held}", each(cpu() - before), each(owner.spent.get()), each(spent.get()));
+    println!("{} {} {} {held}", each(cpu() - before), each(owner.time_in_front.get()), each(spent.get()));
     Ok(())
 }
 
--- a/bench/src/scale.rs
+++ b/bench/src/scale.rs
@@ -22,7 +22,7 @@
 
 /// Starts all, lets them rest, kills some one after the other; with a council its slots too.
 pub fn measure(plan: &Plan, seconds: u64, deaths: usize) -> Result<(), BenchError> {
-    ottersail_daemon::run::raise_files(0);
+    ottersail_daemon::run::raise_open_file_limit(0);
     let mut all = Cluster::new(plan)?;
     let Plan { members, councillors, .. } = plan;
     println!("{members} members, {councillors} councillors");
--- a/bench/src/scale/cluster.rs
+++ b/bench/src/scale/cluster.rs
@@ -4,7 +4,7 @@
 use crate::fleet::fleet;
 use crate::library::manager;
 use ottersail_daemon::settings::members::Members;
-use ottersail_daemon::settings::write::{write_manager, Post};
+use ottersail_daemon::settings::write::{write_manager, LocalSettings};
 use ottersail_fault_injection::Process;
 use ottersail_front::ids::ManagerIx;
 use ottersail_front::Ms;
@@ -147,7 +147,7 @@
             };
             let mut text = write_manager(
                 &terms,
-                &Post {
+                &LocalSettings {
                     listen: &listen,
                     list: &list,
                     keys: "keys",
--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -10,9 +10,9 @@
 mod second;
 
 use crate::error::RunError;
-use crate::owner::Owner;
-use crate::run::member_keys;
-use crate::settings::manager::Manager;
+use crate::owner::PlacementOwner;
+use crate::run::load_member_keys;
+use crate::settings::manager::ManagerSettings;
 use async_channel::{Receiver, Sender};
 use book::Book;
 use council::{Council, Counsel};
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 /// What the machine would not take.
-pub fn terms(manager: &Manager, life: Life) -> Result<Option<Terms>, RunError> {
+pub fn terms(manager: &ManagerSettings, life: Life) -> Result<Option<Terms>, RunError> {
     let Some(told) = &manager.members else {
         return Ok(None);
     };
@@ -87,16 +87,16 @@
     pub fn start(
         exec: Exec,
         seed: u64,
-        manager: &Manager,
-        owner: &Rc<Owner>,
+        manager: &ManagerSettings,
+        owner: &Rc<PlacementOwner>,
     ) -> Result<Option<Rc<Fleet>>, RunError> {
         let life = Life(unguessed());
         let (Some(told), Some(terms)) = (&manager.members, terms(manager, life)?) else {
             return Ok(None);
         };
         let address = SocketAddr::V4(told.listen);
-        let socket = Datagrams::bind(address).map_err(|why| RunError::Datagrams { address, why })?;
-        let gate = Gate::new(terms.me.id, life, &told.cluster, member_keys(told)?, unguessed());
+        let socket = Datagrams::bind(address).map_err(|cause| RunError::Datagrams { address, cause })?;
+        let gate = Gate::new(terms.me.id, life, &told.cluster, load_member_keys(told)?, unguessed());
         let (id, name) = (terms.me.id, told.name.clone());
         let mut members = Members::born(ottersail::time::Ms(0.0), seed, terms);
         let door = Door::of(&manager.listen, told.advertise);
--- a/daemon/src/fleet/council.rs
+++ b/daemon/src/fleet/council.rs
@@ -21,7 +21,7 @@
 mod share_tests;
 mod wants;
 
-use crate::settings::manager::Manager;
+use crate::settings::manager::ManagerSettings;
 pub(super) use carry::Counsel;
 use figures::Tally;
 use keeper::Keeper;
@@ -88,7 +88,12 @@
 
 impl Council {
     /// `None` without `[council]`; with it, a keeper if this is a councillor whose store can be read.
-    pub fn born(now: Ms, seed: u64, life: Life, manager: &Manager) -> Option<(Council, Option<Keeper>)> {
+    pub fn born(
+        now: Ms,
+        seed: u64,
+        life: Life,
+        manager: &ManagerSettings,
+    ) -> Option<(Council, Option<Keeper>)> {
         let (members, told) = (manager.members.as_ref()?, manager.council.as_ref()?);
         let id = |name: &String| MemberId::of(&members.cluster, name);
         let me = (id(&members.name), life);
--- a/daemon/src/fleet/council/carry.rs
+++ b/daemon/src/fleet/council/carry.rs
@@ -2,7 +2,7 @@
 
 use super::{Council, Keeper, Outs};
 use crate::fleet::Fleet;
-use crate::owner::Owner;
+use crate::owner::PlacementOwner;
 use ottersail::time::Ms;
 use ottersail_front::tape::Told;
 use ottersail_membership::{MemberId, Topic};
@@ -21,7 +21,7 @@
 pub(in crate::fleet) struct Counsel {
     council: RefCell<Option<Council>>,
     keeper: Option<Keeper>,
-    owner: Weak<Owner>,
+    owner: Weak<PlacementOwner>,
     /// A permit is used: the version to come back with.
     out: (async_channel::Sender<Name>, async_channel::Receiver<Name>),
     armed: Cell<f64>,
@@ -29,7 +29,7 @@
 }
 
 impl Counsel {
-    pub fn new(born: Option<(Council, Option<Keeper>)>, owner: &Rc<Owner>) -> Counsel {
+    pub fn new(born: Option<(Council, Option<Keeper>)>, owner: &Rc<PlacementOwner>) -> Counsel {
         let (council, keeper) = born.map_or((None, None), |it| (Some(it.0), it.1));
         Counsel {
             council: RefCell::new(council),
@@ -95,10 +95,10 @@
         let going = self.counsel.council.borrow().as_ref().and_then(|it| it.wants_out(self.now()));
         let (Some(going), Some(owner)) = (going, self.counsel.owner.upgrade()) else { return };
         // Told to end already: else a permit that ran out would have it take viewings again.
-        if owner.front(|it| it.is_draining()) {
+        if owner.with_front(|it| it.is_draining()) {
             return;
         }
-        owner.tell(&Told::Drain);
+        owner.handle(&Told::Drain);
         let now = self.now();
         let in_time = |it: &mut Council| it.still_in_time(now, &going);
         if self.counsel.council.borrow_mut().as_mut().is_some_and(in_time) {
@@ -106,7 +106,7 @@
             _ = self.counsel.out.0.try_send(going.version);
         } else {
             warn!(target: "releases", "a permit ran out before it was used: viewings are taken again");
-            owner.tell(&Told::Resume);
+            owner.handle(&Told::Resume);
         }
     }
 
@@ -124,8 +124,8 @@
     fn stands(&self, council: &mut Council, now: Ms) {
         let Some(owner) = self.counsel.owner.upgrade() else { return };
         let clock = ottersail_front::Ms(owner.clock.now());
-        let (whole, it) = owner.front(|it| (it.whole(clock), it.counts()));
-        let (set_ups, set_up_ms) = owner.set_ups();
+        let (whole, it) = owner.with_front(|it| (it.whole(clock), it.counts()));
+        let (set_ups, set_up_ms) = owner.set_up_totals();
         let counts = Counts {
             // Whoever is not even taken is blocked to its viewer.
             asked: it.asked + it.turned_away_untaken,
@@ -171,7 +171,7 @@
                 if part.until > 0.0 {
                     part.until += ahead;
                 }
-                owner.tell(&Told::Part { part });
+                owner.handle(&Told::Part { part });
             }
         }
         Some(shrunk)
--- a/daemon/src/fleet/council/keeper.rs
+++ b/daemon/src/fleet/council/keeper.rs
@@ -62,7 +62,7 @@
         std::thread::Builder::new()
             .name(name.clone())
             .spawn(move || write(&store, &waiting, &tell))
-            .map_err(|why| RunError::Thread { name, why })?;
+            .map_err(|cause| RunError::Thread { name, cause })?;
         Ok(Keeper { wishes, done })
     }
 
--- a/daemon/src/judged.rs
+++ b/daemon/src/judge.rs
@@ -11,14 +11,14 @@
 ///
 /// # Errors
 /// If the record can't be read or the report not be written; a broken rule is no error but a verdict.
-pub fn judged(traffic: &Path, report: Option<&Path>) -> Result<Verdict, JudgeError> {
-    let unread = |why: String| JudgeError::Unread { traffic: traffic.to_path_buf(), why };
+pub fn judge_traffic(traffic: &Path, report: Option<&Path>) -> Result<Verdict, JudgeError> {
+    let unread = |cause: String| JudgeError::Unreadable { traffic: traffic.to_path_buf(), cause };
     let file = File::open(traffic).map_err(|it| unread(it.to_string()))?;
     let (terms, lines) = record::read(BufReader::new(file)).map_err(|it| unread(it.to_string()))?;
     let verdict = judge(&terms, &lines);
     if let Some(folder) = report {
         write_report(folder, &terms, &lines, &verdict)
-            .map_err(|it| JudgeError::Report { folder: folder.to_path_buf(), why: it.to_string() })?;
+            .map_err(|it| JudgeError::Report { folder: folder.to_path_buf(), cause: it.to_string() })?;
     }
     Ok(verdict)
 }
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -3,7 +3,7 @@
 
 pub mod error;
 pub mod fleet;
-pub mod judged;
+pub mod judge;
 pub mod metrics;
 pub mod node;
 pub mod owner;
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,8 +1,8 @@
 //! The session manager as a program.
 
 use clap::{Parser, Subcommand};
-use ottersail_daemon::error::{LineError, NodeError, RunError};
-use ottersail_daemon::{judged, node, rehearse, replay, run, settings};
+use ottersail_daemon::error::{ArgumentError, NodeError, RunError};
+use ottersail_daemon::{judge, node, rehearse, replay, run, settings};
 use ottersail_front::baseline::{Pick, PICKS};
 use ottersail_invariants::Verdict;
 use std::fmt::Display;
@@ -108,7 +108,7 @@
     let log = line.log.clone().unwrap_or_else(|| if quiet { "warn" } else { "info" }.to_string());
     let filter = match EnvFilter::try_new(&log) {
         Ok(filter) => filter,
-        Err(it) => return complain(&LineError::Log { read: log, why: it.to_string() }),
+        Err(it) => return add_problem(&ArgumentError::Log { value: log, cause: it.to_string() }),
     };
     let logs =
         tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_target(false);
@@ -123,16 +123,16 @@
             match run::run(settings, asked) {
                 Ok(run::Ended::Told) => ExitCode::SUCCESS,
                 Ok(run::Ended::Released) => ExitCode::from(RELEASED),
-                Err(trouble) => complain(&trouble),
+                Err(trouble) => add_problem(&trouble),
             }
         }
         Job::Node => {
             let Some(path) = std::env::var_os("BALANCER_CONFIG").filter(|it| !it.is_empty()) else {
-                return complain(&NodeError::Unnamed);
+                return add_problem(&NodeError::ConfigNotSet);
             };
             match node::run(path.into()) {
                 Ok(()) => ExitCode::SUCCESS,
-                Err(trouble) => complain(&trouble),
+                Err(trouble) => add_problem(&trouble),
             }
         }
         Job::Check { settings } => match check(&settings) {
@@ -140,7 +140,7 @@
                 println!("{}: {what}", settings.display());
                 ExitCode::SUCCESS
             }
-            Err(trouble) => complain(&trouble),
+            Err(trouble) => add_problem(&trouble),
         },
         Job::Rehearse { day, record, traffic, seed, cores, keep, pick, managers, beside, report } => {
             let asked = rehearse::Rehearsal {
@@ -158,7 +158,7 @@
             };
             match rehearse::rehearse(&asked) {
                 Ok(verdict) => tell(&verdict),
-                Err(trouble) => complain(&trouble),
+                Err(trouble) => add_problem(&trouble),
             }
         }
         Job::Replay { record, keys } => match replay::replay(&record, keys) {
@@ -166,11 +166,11 @@
                 println!("{done}");
                 ExitCode::SUCCESS
             }
-            Err(trouble) => complain(&trouble),
+            Err(trouble) => add_problem(&trouble),
         },
-        Job::Judge { traffic, report } => match judged::judged(&traffic, report.as_deref()) {
+        Job::Judge { traffic, report } => match judge::judge_traffic(&traffic, report.as_deref()) {
             Ok(verdict) => tell(&verdict),
-            Err(trouble) => complain(&trouble),
+            Err(trouble) => add_problem(&trouble),
         },
     }
 }
@@ -178,19 +178,19 @@
 #[derive(Clone, Copy)]
 struct Picked(Option<Pick>);
 
-fn pick(text: &str) -> Result<Picked, LineError> {
+fn pick(text: &str) -> Result<Picked, ArgumentError> {
     let found = PICKS.iter().find(|it| it.0 == text).map(|it| Picked(it.1));
-    let words = || PICKS.iter().map(|it| it.0).collect();
-    found.ok_or_else(|| LineError::Pick { read: text.to_string(), words: words() })
+    let choices = || PICKS.iter().map(|it| it.0).collect();
+    found.ok_or_else(|| ArgumentError::Pick { value: text.to_string(), choices: choices() })
 }
 
-fn stall(text: &str) -> Result<(usize, u64), LineError> {
+fn stall(text: &str) -> Result<(usize, u64), ArgumentError> {
     let parts = text.split_once(':').and_then(|(core, ms)| Some((core.parse().ok()?, ms.parse().ok()?)));
-    parts.ok_or_else(|| LineError::Stall { read: text.to_string() })
+    parts.ok_or_else(|| ArgumentError::Stall { value: text.to_string() })
 }
 
 /// What is wrong, where, and what can be tried: a line or more.
-fn complain(trouble: &dyn Display) -> ExitCode {
+fn add_problem(trouble: &dyn Display) -> ExitCode {
     eprintln!("{trouble}");
     ExitCode::from(2)
 }
@@ -210,7 +210,7 @@
 fn check(path: &Path) -> Result<&'static str, RunError> {
     let text = settings::load(path)?;
     if text.lines().any(|it| it.trim() == "[day]") {
-        settings::day::read_day(path, &text)?;
+        settings::day::parse_day(path, &text)?;
         return Ok("a day that can be rehearsed");
     }
     if settings::orders::are_orders(&text) {
--- a/daemon/src/metrics.rs
+++ b/daemon/src/metrics.rs
@@ -53,7 +53,7 @@
     }
 
     /// Set-ups so far, and all their times in milliseconds.
-    pub fn set_ups(&self) -> (u64, u64) {
+    pub fn set_up_totals(&self) -> (u64, u64) {
         (self.sums.0.load(Ordering::Relaxed), self.sums.1.load(Ordering::Relaxed) / 1_000)
     }
 }
--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -64,9 +64,10 @@
 /// Reads the configuration. Entries of the list of servers that cannot be read are left out and logged.
 fn read(path: &Path) -> Result<Start, NodeError> {
     let file = || path.to_path_buf();
-    let text = std::fs::read_to_string(path).map_err(|why| NodeError::Unread { file: file(), why })?;
+    let text =
+        std::fs::read_to_string(path).map_err(|cause| NodeError::Unreadable { file: file(), cause })?;
     let start = config::read(&text);
-    let start = start.map_err(|error| NodeError::Config { file: file(), why: error.to_string() })?;
+    let start = start.map_err(|error| NodeError::Config { file: file(), cause: error.to_string() })?;
     for error in &start.known.dropped {
         warn!(file = %path.display(), error = %format_args!("known: {error}"), "left out of the list of servers");
     }
@@ -84,13 +85,13 @@
 pub fn run(path: PathBuf) -> Result<(), NodeError> {
     let start = read(&path)?;
     let address: SocketAddr =
-        start.listen.parse().map_err(|why| NodeError::Address { file: path.clone(), why })?;
+        start.listen.parse().map_err(|cause| NodeError::Address { file: path.clone(), cause })?;
     let exec = executor();
     let clock = Clock::start();
     block_on(exec.run(async {
         // Before the first test can be passed: a signal that comes early must not end the program.
         let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])
-            .map_err(|why| NodeError::Signals { why })?;
+            .map_err(|cause| NodeError::Signals { cause })?;
         let (name, connect, channel) = (start.name.clone(), start.connect, start.channel.clone());
         let (longest, seed) = (start.longest, start.seed);
         let mut sockets = Sockets::default();
@@ -115,7 +116,7 @@
             }
         }));
         let listener = listen(address).and_then(Listener::new);
-        let listener = listener.map_err(|why| NodeError::Listen { address, why })?;
+        let listener = listener.map_err(|cause| NodeError::Listen { address, cause })?;
         exec.spawn(hub.clone().ring()).detach();
         exec.spawn(figures::log_regularly(hub.clone())).detach();
         exec.spawn(accept(hub.clone(), listener)).detach();
--- a/daemon/src/owner.rs
+++ b/daemon/src/owner.rs
@@ -25,7 +25,7 @@
 /// News taken in a row before other tasks have their turn.
 const AT_ONCE: usize = 64;
 
-pub struct Owner {
+pub struct PlacementOwner {
     pub clock: Clock,
     front: RefCell<Front>,
     last: Cell<f64>,
@@ -44,11 +44,11 @@
     server: Arc<Server>,
     /// The other members, if it has any; the front knows its part of what all share.
     pub fleet: OnceCell<Rc<Fleet>>,
-    /// Time spent in the front so far.
-    pub spent: Cell<Duration>,
+    /// Time time_in_front in the front so far.
+    pub time_in_front: Cell<Duration>,
 }
 
-impl Owner {
+impl PlacementOwner {
     pub fn new(
         clock: Clock,
         front: Front,
@@ -56,8 +56,8 @@
         cores: Vec<Arc<Core>>,
         times: Times,
         server: Arc<Server>,
-    ) -> Rc<Owner> {
-        Rc::new(Owner {
+    ) -> Rc<PlacementOwner> {
+        Rc::new(PlacementOwner {
             clock,
             front: RefCell::new(front),
             last: Cell::new(0.0),
@@ -72,19 +72,19 @@
             times,
             server,
             fleet: OnceCell::new(),
-            spent: Cell::default(),
+            time_in_front: Cell::default(),
         })
     }
 
     /// Takes news for ever.
-    pub async fn listen(self: Rc<Owner>, news: Receiver<News>) {
+    pub async fn listen(self: Rc<PlacementOwner>, news: Receiver<News>) {
         let mut in_a_row = 0;
         while let Ok(it) = news.recv().await {
             match it {
                 News::Happened { told, slot } => self.happened(told, slot),
                 News::Page(to) => {
                     let (open, away) = (self.server.open(), self.server.turned_away());
-                    let text = self.front(|it| {
+                    let text = self.with_front(|it| {
                         page(it, &self.times, (open, away), &self.cores, self.fleet.get().map(|it| &**it))
                     });
                     _ = to.try_send(text);
@@ -112,11 +112,11 @@
         if let Told::Left { ask } = &told {
             self.slots.borrow_mut().remove(ask);
         }
-        self.tell(&told);
+        self.handle(&told);
     }
 
     /// Tells the front that something happened, and sees to what it wants.
-    pub fn tell(&self, told: &Told) {
+    pub fn handle(&self, told: &Told) {
         let now = self.clock.now().max(self.last.get());
         self.last.set(now);
         let began = Instant::now();
@@ -134,7 +134,7 @@
                 }
             }
         }
-        self.spent.set(self.spent.get() + began.elapsed());
+        self.time_in_front.set(self.time_in_front.get() + began.elapsed());
         let due = front.next_due().map_or(f64::INFINITY, |it| it.0);
         if due < self.armed.get() {
             _ = self.rearm.0.try_send(());
@@ -142,8 +142,8 @@
     }
 
     /// Set-ups so far, and all their times in milliseconds.
-    pub fn set_ups(&self) -> (u64, u64) {
-        self.times.set_ups()
+    pub fn set_up_totals(&self) -> (u64, u64) {
+        self.times.set_up_totals()
     }
 
     /// Ends the record, since what follows could not be played back.
@@ -151,14 +151,14 @@
         *self.tape.borrow_mut() = None;
     }
 
-    pub fn front<T>(&self, look: impl FnOnce(&mut Front) -> T) -> T {
+    pub fn with_front<T>(&self, look: impl FnOnce(&mut Front) -> T) -> T {
         look(&mut self.front.borrow_mut())
     }
 
     /// Rings when the front wants to be rung.
-    pub async fn ring(self: Rc<Owner>) {
+    pub async fn ring(self: Rc<PlacementOwner>) {
         loop {
-            let due = self.front(|it| it.next_due()).map_or(f64::INFINITY, |it| it.0);
+            let due = self.with_front(|it| it.next_due()).map_or(f64::INFINITY, |it| it.0);
             self.armed.set(due);
             let wait = async {
                 if due.is_finite() {
@@ -172,8 +172,8 @@
                 _ = self.rearm.1.recv().await;
             })
             .await;
-            if self.front(|it| it.next_due()).is_some_and(|it| it.0 <= self.clock.now()) {
-                self.tell(&Told::TimeHasCome);
+            if self.with_front(|it| it.next_due()).is_some_and(|it| it.0 <= self.clock.now()) {
+                self.handle(&Told::TimeHasCome);
             }
             self.sweep();
             // Other tasks have their turn between two rings, however many are due.
--- a/daemon/src/owner/hands.rs
+++ b/daemon/src/owner/hands.rs
@@ -1,13 +1,13 @@
 //! What the front wants, sent as errands to the cores.
 
-use super::Owner;
+use super::PlacementOwner;
 use crate::post::Errand;
 use ottersail_front::ids::{Rung, ServerId, ViewingId};
 use ottersail_front::{AskId, Orders, Reply, SetUp};
 use std::sync::PoisonError;
 
 /// Sends each wish to the core that sees to it.
-pub(super) struct Hands<'a>(pub(super) &'a Owner);
+pub(super) struct Hands<'a>(pub(super) &'a PlacementOwner);
 
 impl Orders for Hands<'_> {
     fn set_up(&mut self, it: &SetUp) {
--- a/daemon/src/rehearse.rs
+++ b/daemon/src/rehearse.rs
@@ -15,7 +15,7 @@
 pub use asked::Rehearsal;
 use async_signal::Signals;
 use error::at;
-pub use error::{RehearseError, Unclean};
+pub use error::{RehearseError, UncleanExit};
 use files::bears;
 use futures_lite::StreamExt;
 use ottersail_invariants::Verdict;
@@ -44,7 +44,7 @@
     plan.pick = asked.pick.unwrap_or(plan.pick);
     plan.one_seed &= asked.pick.is_none();
     if plan.day.managers > MOST_MANAGERS {
-        return Err(RehearseError::TooMany { day: asked.day.clone(), most: MOST_MANAGERS });
+        return Err(RehearseError::TooManyManagers { day: asked.day.clone(), max: MOST_MANAGERS });
     }
     bears(&asked.day, &plan)?;
     sweep();
@@ -79,7 +79,7 @@
 /// Set once this process is told to end: then nothing of the day may be left behind.
 fn watch_signals() -> Result<Arc<AtomicBool>, RehearseError> {
     let signals = Signals::new([async_signal::Signal::Term, async_signal::Signal::Int]);
-    let mut signals = signals.map_err(|why| RehearseError::Signals { why })?;
+    let mut signals = signals.map_err(|cause| RehearseError::Signals { cause })?;
     let told = Arc::new(AtomicBool::new(false));
     let tells = told.clone();
     std::thread::spawn(move || {
--- a/daemon/src/rehearse/beliefs.rs
+++ b/daemon/src/rehearse/beliefs.rs
@@ -1,6 +1,6 @@
 //! What managers believe of one another, asked of their figures from outside.
 
-use crate::settings::day::Plan;
+use crate::settings::day::DayPlan;
 use ottersail_fake_servers::{FaultKind, Recorder};
 use ottersail_invariants::Event;
 use std::io::{Read, Write};
@@ -42,7 +42,7 @@
 
 /// Asks at the end of each fault of members, on a thread of its own, until the day is over.
 pub(super) fn follow(
-    plan: &Plan,
+    plan: &DayPlan,
     managers: Vec<SocketAddr>,
     began: Instant,
     recorder: &Recorder,
--- a/daemon/src/rehearse/costs.rs
+++ b/daemon/src/rehearse/costs.rs
@@ -1,7 +1,7 @@
 //! What managers take of the machine, at rest and over the day.
 
 use super::stage::Manager;
-use crate::settings::day::Plan;
+use crate::settings::day::DayPlan;
 use ottersail_fake_servers::Recorder;
 use ottersail_fault_injection::{cost, Cost};
 use ottersail_invariants::Event;
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 /// Nobody comes for a while, and what the managers take meanwhile is written down.
-pub(super) fn rest(plan: &Plan, managers: &[Manager], recorder: &Recorder, interrupted: &AtomicBool) {
+pub(super) fn rest(plan: &DayPlan, managers: &[Manager], recorder: &Recorder, interrupted: &AtomicBool) {
     if plan.rest.0 <= 0.0 {
         return;
     }
--- a/daemon/src/rehearse/files.rs
+++ b/daemon/src/rehearse/files.rs
@@ -1,7 +1,7 @@
 //! The descriptors that a day takes of this process.
 
 use super::error::RehearseError;
-use crate::settings::day::Plan;
+use crate::settings::day::DayPlan;
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 use std::path::Path;
 
@@ -12,7 +12,7 @@
 const FILES_BESIDE: u64 = 512;
 
 /// What is missing on this machine for that day.
-pub(super) fn bears(day: &Path, plan: &Plan) -> Result<(), RehearseError> {
+pub(super) fn bears(day: &Path, plan: &DayPlan) -> Result<(), RehearseError> {
     let (managers, servers) = (plan.day.managers as u64, plan.day.servers as u64);
     let needs = managers * FILES_A_MANAGER + servers * FILES_A_SERVER + FILES_BESIDE;
     let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
@@ -21,8 +21,8 @@
     }
     let day = day.to_path_buf();
     if let Some(allowed) = maximum.filter(|it| *it < needs) {
-        return Err(RehearseError::Files { day, needs, allowed });
+        return Err(RehearseError::OpenFileLimit { day, needs, allowed });
     }
     setrlimit(Resource::Nofile, Rlimit { current: Some(needs), maximum })
-        .map_err(|it| RehearseError::FilesRefused { day, needs, why: it.into() })
+        .map_err(|it| RehearseError::RaiseOpenFileLimit { day, needs, cause: it.into() })
 }
--- a/daemon/src/rehearse/gossip.rs
+++ b/daemon/src/rehearse/gossip.rs
@@ -2,7 +2,7 @@
 //! of its own, and the day's faults on it.
 
 use super::error::RehearseError;
-use crate::settings::day::Plan;
+use crate::settings::day::DayPlan;
 use ottersail_fake_servers::{Fault, Recorder, Ways};
 use ottersail_fault_injection::{Condition, Exchange};
 use ottersail_invariants::Event;
@@ -44,7 +44,7 @@
     }
 }
 
-fn hits(plan: &Plan) -> Vec<Hit> {
+fn hits(plan: &DayPlan) -> Vec<Hit> {
     let mut rng = fastrand::Rng::with_seed(plan.day.seed ^ 0x60551b);
     let hit = |fault: &Fault| {
         let condition = fault.gossip()?;
@@ -63,7 +63,7 @@
     /// # Errors
     /// If it can't have its sockets.
     pub fn start(
-        plan: &Plan,
+        plan: &DayPlan,
         members: Vec<SocketAddr>,
         recorder: &Recorder,
     ) -> Result<Gossip, RehearseError> {
@@ -98,9 +98,9 @@
                 futures_lite::future::or(plays, async { _ = over.recv().await }).await;
             }));
         });
-        let gone = RehearseError::Exchange { why: "its thread ended".into() };
+        let gone = RehearseError::Exchange { cause: "its thread ended".into() };
         let there = told.recv_blocking().map_err(|_| gone)?;
-        let there = there.map_err(|it| RehearseError::Exchange { why: it.to_string() })?;
+        let there = there.map_err(|it| RehearseError::Exchange { cause: it.to_string() })?;
         let v4 = |it: SocketAddr| match it {
             SocketAddr::V4(it) => Some(it),
             SocketAddr::V6(_) => None,
--- a/daemon/src/rehearse/play.rs
+++ b/daemon/src/rehearse/play.rs
@@ -7,10 +7,10 @@
 use super::gossip::Gossip;
 use super::stage::{gather, own_address, wait_end, wait_ready, Manager, Stage};
 use super::steps::trouble;
-use crate::judged::judged;
-use crate::settings::day::Plan;
+use crate::judge::judge_traffic;
+use crate::settings::day::DayPlan;
 use crate::settings::members::Members;
-use crate::settings::write::{write_manager, Post};
+use crate::settings::write::{write_manager, LocalSettings};
 use ottersail::ids::ManagerIx;
 use ottersail::time::Ms;
 use ottersail_fake_servers::{run_fleet, run_players, Crowd, FaultKind, Recorder};
@@ -30,23 +30,23 @@
 const MEMBERS_PERIOD: Ms = Ms(1_000.0);
 
 pub(super) fn play(
-    plan: &Plan,
+    plan: &DayPlan,
     asked: &Rehearsal,
     folder: &Path,
     interrupted: &AtomicBool,
 ) -> Result<Verdict, RehearseError> {
     let clock = Clock::start();
     let traffic = asked.traffic.clone().unwrap_or_else(|| folder.join("traffic.jsonl"));
-    let recorder = Recorder::begin(&traffic, clock, plan.judged());
+    let recorder = Recorder::begin(&traffic, clock, plan.judge_terms());
     let recorder = recorder.map_err(|it| unwritten(&traffic, it.to_string()))?;
     let secret = |_| format!("{:032x}", fastrand::u128(..));
     let keys_text = format!("b {}{}\na {}{}\n", secret(0), "AA", secret(1), "AA");
     let file = folder.join("keys");
     fs::write(&file, &keys_text).map_err(at(&file))?;
-    let keys = Keys::read(&keys_text).map_err(|it| RehearseError::Keys { file, why: it.to_string() })?;
+    let keys = Keys::read(&keys_text).map_err(|it| RehearseError::Keys { file, cause: it.to_string() })?;
     let (go, going) = async_channel::bounded(1);
     let fleet = run_fleet(&plan.day, &recorder, &keys, going)
-        .map_err(|it| RehearseError::Fleet { day: asked.day.clone(), why: it.to_string() })?;
+        .map_err(|it| RehearseError::StartServers { day: asked.day.clone(), cause: it.to_string() })?;
 
     let stall = plan.day.faults.iter().find(|it| it.kind == FaultKind::CoreStall);
     let stage = Stage {
@@ -74,11 +74,11 @@
         if plan.day.probes(number) {
             (terms.reports_on_probe, terms.reports_every) = (true, Ms(0.0));
         }
-        let post = Post {
+        let local = LocalSettings {
             listen: &address.to_string(),
             list: &fleet.lists[number].to_string(),
             keys: "keys",
-            grace: plan.grace,
+            grace: plan.drain_grace,
             list_wait: Ms(2_000.0),
             silence: Ms(3_000.0),
             cores: asked.cores,
@@ -87,7 +87,7 @@
             releases: None,
         };
         let file = folder.join(format!("manager-{number}.ini"));
-        fs::write(&file, write_manager(&terms, &post)).map_err(at(file))?;
+        fs::write(&file, write_manager(&terms, &local)).map_err(at(file))?;
         let child = stage.start(number, 0)?;
         managers.push(Manager { number, address, child, lives: 1, unclean: None });
     }
@@ -142,14 +142,14 @@
     recorder.close().map_err(|it| unwritten(&traffic, it.to_string()))?;
     played?;
     if !unclean.is_empty() {
-        return Err(RehearseError::Unclean { which: unclean });
+        return Err(RehearseError::UncleanExits { exits: unclean });
     }
     if let Some(record) = &asked.record {
         gather(&stage, &managers, record)?;
         let file = format!("{}.keys", record.display());
         fs::write(&file, &keys_text).map_err(at(file))?;
     }
-    Ok(judged(&traffic, asked.report.as_deref())?)
+    Ok(judge_traffic(&traffic, asked.report.as_deref())?)
 }
 
 /// A manager takes datagrams at its own address, as it does connections.
@@ -168,6 +168,6 @@
     })
 }
 
-fn unwritten(file: &Path, why: String) -> RehearseError {
-    RehearseError::Recorder { file: file.to_path_buf(), why }
+fn unwritten(file: &Path, cause: String) -> RehearseError {
+    RehearseError::WriteTraffic { file: file.to_path_buf(), cause }
 }
--- a/daemon/src/rehearse/stage.rs
+++ b/daemon/src/rehearse/stage.rs
@@ -1,6 +1,6 @@
 //! The managers of a rehearsal, each a process of its own.
 
-use super::error::{at, RehearseError, Unclean};
+use super::error::{at, RehearseError, UncleanExit};
 use ottersail_fault_injection::Process;
 use ottersail_front::baseline::{Pick, PICKS};
 use std::fs::{self, File};
@@ -17,7 +17,7 @@
     pub child: Process,
     pub lives: usize,
     /// What was wrong with the end of an earlier life, or the start of a later one.
-    pub unclean: Option<Unclean>,
+    pub unclean: Option<UncleanExit>,
 }
 
 pub(super) struct Stage {
@@ -59,7 +59,7 @@
             command.args(["--pick", name]);
         }
         Process::start(command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log)).map_err(|it| {
-            RehearseError::Start { manager: number, program: program.clone(), why: it.to_string() }
+            RehearseError::Start { manager: number, program: program.clone(), cause: it.to_string() }
         })
     }
 
@@ -67,7 +67,8 @@
         match self.start(it.number, it.lives) {
             Ok(child) => (it.child, it.lives) = (child, it.lives + 1),
             Err(trouble) => {
-                it.unclean = Some(Unclean::NotAgain { manager: it.number, why: trouble.to_string() })
+                it.unclean =
+                    Some(UncleanExit::RestartFailed { manager: it.number, cause: trouble.to_string() })
             }
         }
     }
@@ -78,13 +79,13 @@
 }
 
 /// Waits for a manager to end by itself; what is wrong if it does not, or not well.
-pub(super) fn wait_end(it: &mut Manager, patience: Duration) -> Option<Unclean> {
-    match it.child.wait(patience) {
+pub(super) fn wait_end(it: &mut Manager, timeout: Duration) -> Option<UncleanExit> {
+    match it.child.wait(timeout) {
         Some(status) if status.success() => None,
-        Some(status) => Some(Unclean::Ended { manager: it.number, status }),
+        Some(status) => Some(UncleanExit::Failed { manager: it.number, status }),
         None => {
             it.child.kill();
-            Some(Unclean::Stays { manager: it.number, patience })
+            Some(UncleanExit::TimedOut { manager: it.number, timeout })
         }
     }
 }
@@ -96,7 +97,7 @@
         [std::process::id() % 200 + 16, manager as u32 / 250, manager as u32 % 250 + 1];
     let address = Ipv4Addr::new(127, network as u8, high as u8, low as u8);
     let free = TcpListener::bind((address, 0)).and_then(|it| it.local_addr());
-    free.map_err(|why| RehearseError::Address { manager, why })
+    free.map_err(|cause| RehearseError::Address { manager, cause })
 }
 
 pub(super) fn is_ready(address: SocketAddr) -> bool {
@@ -113,17 +114,17 @@
 
 pub(super) fn wait_ready(
     address: SocketAddr,
-    patience: Duration,
+    timeout: Duration,
     interrupted: &AtomicBool,
 ) -> Result<(), RehearseError> {
     let began = Instant::now();
-    while began.elapsed() < patience && !interrupted.load(Ordering::Acquire) {
+    while began.elapsed() < timeout && !interrupted.load(Ordering::Acquire) {
         if is_ready(address) {
             return Ok(());
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    Err(RehearseError::NotReady { address, patience })
+    Err(RehearseError::NotReady { address, timeout })
 }
 
 /// Puts the records of all managers and lives into one file, one after the other.
--- a/daemon/src/rehearse/steps.rs
+++ b/daemon/src/rehearse/steps.rs
@@ -1,9 +1,9 @@
 //! What is done to managers while a day is played.
 
 use super::asked::ENDS;
-use super::error::Unclean;
+use super::error::UncleanExit;
 use super::stage::{is_ready, Manager, Stage};
-use crate::settings::day::Plan;
+use crate::settings::day::DayPlan;
 use ottersail_fake_servers::{Fault, FaultKind, Recorder};
 use ottersail_invariants::Event;
 use rustix::process::Signal;
@@ -12,7 +12,7 @@
 
 /// Kills and stops managers as the day says, until the players are done.
 pub(super) fn trouble(
-    plan: &Plan,
+    plan: &DayPlan,
     stage: &Stage,
     recorder: &Recorder,
     began: Instant,
@@ -35,12 +35,12 @@
             let it = &mut managers[*manager];
             match it.child.ended() {
                 Some(status) if !status.success() => {
-                    it.unclean = Some(Unclean::Ended { manager: *manager, status });
+                    it.unclean = Some(UncleanExit::Failed { manager: *manager, status });
                 }
                 Some(_) => {}
                 None if told.elapsed() < ENDS => return true,
                 None => {
-                    it.unclean = Some(Unclean::Stays { manager: *manager, patience: ENDS });
+                    it.unclean = Some(UncleanExit::TimedOut { manager: *manager, timeout: ENDS });
                     it.child.kill();
                 }
             }
@@ -108,7 +108,7 @@
 }
 
 /// What is done to managers, the last first.
-fn steps_of(plan: &Plan, managers: usize) -> Vec<Step> {
+fn steps_of(plan: &DayPlan, managers: usize) -> Vec<Step> {
     let mut steps = Vec::new();
     for fault in &plan.day.faults {
         if fault.kind == FaultKind::ManagerRestart {
--- a/daemon/src/replay.rs
+++ b/daemon/src/replay.rs
@@ -2,8 +2,8 @@
 //! wants.
 
 use crate::error::ReplayError;
-use crate::run::{house, NoOrders};
-use crate::settings::manager::read_manager;
+use crate::run::{front_settings, DiscardOutput};
+use crate::settings::manager::parse_manager;
 use ottersail_front::tape::{Scribe, Told};
 use ottersail_front::{Front, Ms};
 use ottersail_signed_urls::Keys;
@@ -51,7 +51,7 @@
 /// The first line at which the library wants something else, or what can't be read.
 pub fn replay(path: &Path, keys: Option<PathBuf>) -> Result<Replayed, ReplayError> {
     let file = || path.to_path_buf();
-    let unread = |why| ReplayError::Unread { file: file(), why };
+    let unread = |cause| ReplayError::Unreadable { file: file(), cause };
     let open = File::open(path).map_err(unread)?;
     let beside = PathBuf::from(format!("{}.keys", path.display()));
     let keys = keys.or_else(|| beside.exists().then_some(beside));
@@ -72,42 +72,43 @@
                 done.torn += 1;
                 continue;
             }
-            Err(why) => return Err(ReplayError::Line { file: file(), line, why }),
+            Err(cause) => return Err(ReplayError::InvalidLine { file: file(), line, cause }),
         };
         let Some(front) = front.as_mut() else {
-            return Err(ReplayError::Headless { file: file(), line });
+            return Err(ReplayError::MissingHeader { file: file(), line });
         };
         let mut wanted = Vec::new();
         step.told.tell(front, Ms(step.at), &mut Scribe { lines: &mut wanted, out: None });
         if wanted != step.wanted {
             let pair = wanted.iter().zip(&step.wanted).find(|it| it.0 != it.1);
-            let (now, then) = pair.map_or((wanted.len().to_string(), step.wanted.len().to_string()), |it| {
-                (it.0.clone(), it.1.clone())
-            });
-            return Err(ReplayError::Differs { file: file(), line, now, then });
+            let (actual, recorded) = pair
+                .map_or((wanted.len().to_string(), step.wanted.len().to_string()), |it| {
+                    (it.0.clone(), it.1.clone())
+                });
+            return Err(ReplayError::Mismatch { file: file(), line, actual, recorded });
         }
         done.told += 1;
         done.wanted += wanted.len();
     }
     if done.told == 0 {
-        return Err(ReplayError::Nothing { file: file() });
+        return Err(ReplayError::Empty { file: file() });
     }
     Ok(done)
 }
 
 fn begin(header: &Header, keys: Option<&Path>, (path, line): (&Path, usize)) -> Result<Front, ReplayError> {
     let file = || path.to_path_buf();
-    let manager = read_manager(Path::new(&header.file), &header.settings)
-        .map_err(|why| ReplayError::Settings { file: file(), line, why })?;
+    let manager = parse_manager(Path::new(&header.file), &header.settings)
+        .map_err(|cause| ReplayError::Settings { file: file(), line, cause })?;
     let keys = keys.unwrap_or(&manager.keys);
-    let wrong = |why: String| ReplayError::Keys { file: file(), line, keys: keys.to_path_buf(), why };
+    let wrong = |cause: String| ReplayError::Keys { file: file(), line, keys: keys.to_path_buf(), cause };
     let text = std::fs::read_to_string(keys).map_err(|it| wrong(it.to_string()))?;
     let keys = Keys::read(&text).map_err(|it| wrong(it.to_string()))?;
     Ok(Front::new(
         Ms(header.begins),
         header.seed,
         manager.terms.clone(),
-        house(&manager, keys),
-        &mut NoOrders,
+        front_settings(&manager, keys),
+        &mut DiscardOutput,
     ))
 }
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -1,6 +1,6 @@
 //! `ottersail run`: one manager, until it is told to end.
 
-mod nothing;
+mod discard_output;
 mod process;
 mod release;
 mod start;
@@ -10,11 +10,11 @@
 use crate::owner::Tape;
 use crate::post::Errand;
 use crate::settings::load;
-use crate::settings::manager::{read_manager, Manager};
+use crate::settings::manager::{parse_manager, ManagerSettings};
 use crate::settings::members::Members;
 use async_signal::{Signal as Heard, Signals};
+pub use discard_output::DiscardOutput;
 use futures_lite::StreamExt;
-pub use nothing::NoOrders;
 use ottersail_front::baseline::{Baseline, Pick};
 use ottersail_front::decisions::Decisions;
 use ottersail_front::tape::Told;
@@ -23,7 +23,7 @@
 use ottersail_net::{block_on, executor, Clock, Timer};
 use ottersail_signed_urls::Keys;
 use process::end_with_parent;
-pub use process::raise_files;
+pub use process::raise_open_file_limit;
 use serde_json::json;
 pub use start::{start, Running};
 use std::path::{Path, PathBuf};
@@ -40,13 +40,13 @@
 ///
 /// # Errors
 /// If one of them can't be read, or all that is wrong with the settings.
-pub fn read(path: &Path) -> Result<(String, Manager, Keys), RunError> {
+pub fn read(path: &Path) -> Result<(String, ManagerSettings, Keys), RunError> {
     let text = load(path)?;
-    let manager = read_manager(path, &text)?;
-    let wrong = |why: String| RunError::Keys { file: manager.keys.clone(), why };
+    let manager = parse_manager(path, &text)?;
+    let wrong = |cause: String| RunError::Keys { file: manager.keys.clone(), cause };
     let keys = std::fs::read_to_string(&manager.keys).map_err(|it| wrong(it.to_string()))?;
     let keys = Keys::read(&keys).map_err(|it| wrong(it.to_string()))?;
-    manager.members.as_ref().map(member_keys).transpose()?;
+    manager.members.as_ref().map(load_member_keys).transpose()?;
     fleet::terms(&manager, Life(0))?;
     Ok((text, manager, keys))
 }
@@ -55,13 +55,13 @@
 ///
 /// # Errors
 /// If the file can't be read, or holds no keys.
-pub fn member_keys(members: &Members) -> Result<Keys, RunError> {
-    let wrong = |why: String| RunError::MemberKeys { file: members.keys.clone(), why };
+pub fn load_member_keys(members: &Members) -> Result<Keys, RunError> {
+    let wrong = |cause: String| RunError::MemberKeys { file: members.keys.clone(), cause };
     let text = std::fs::read_to_string(&members.keys).map_err(|it| wrong(it.to_string()))?;
     Keys::read(&text).map_err(|it| wrong(it.to_string()))
 }
 
-pub fn house(manager: &Manager, keys: Keys) -> House {
+pub fn front_settings(manager: &ManagerSettings, keys: Keys) -> House {
     House {
         url: manager.url.clone(),
         keys,
@@ -105,22 +105,22 @@
     let clock = Clock::start();
     let seed = seed.unwrap_or_else(|| fastrand::u64(..));
     let now = Ms(clock.now());
-    let (terms, home) = (manager.terms.clone(), house(&manager, keys.clone()));
+    let (terms, home) = (manager.terms.clone(), front_settings(&manager, keys.clone()));
     let front = match pick {
-        None => Front::new(now, seed, terms, home, &mut NoOrders),
+        None => Front::new(now, seed, terms, home, &mut DiscardOutput),
         Some(pick) => {
             warn!(?pick, "picks plainly, for comparison: it keeps no rules but floors");
             let plain = move |terms, _: &mut dyn Answers| -> Box<dyn Decisions> {
                 Box::new(Baseline::new(terms, pick, seed))
             };
-            Front::with(now, terms, home, &mut NoOrders, plain)
+            Front::with(now, terms, home, &mut DiscardOutput, plain)
         }
     };
     let header =
         json!({ "begins": now.0, "seed": seed, "file": path.display().to_string(), "settings": text });
-    let begin = |file: PathBuf| Tape::begin(&file, &header).map_err(|why| RunError::Record { file, why });
+    let begin = |file: PathBuf| Tape::begin(&file, &header).map_err(|cause| RunError::Record { file, cause });
     let tape = record.map(begin).transpose()?;
-    raise_files(manager.connections);
+    raise_open_file_limit(manager.connections);
     let exec = executor();
     let running = start(exec, clock, &manager, keys, front, tape)?;
     let owner = running.owner.clone();
@@ -133,7 +133,7 @@
 
     block_on(exec.run(async {
         let mut signals = Signals::new([Heard::Term, Heard::Int, Heard::Hup, Heard::Usr1])
-            .map_err(|why| RunError::Signals { why })?;
+            .map_err(|cause| RunError::Signals { cause })?;
         let mut told = async || {
             while let Some(signal) = signals.next().await {
                 match signal {
@@ -149,7 +149,7 @@
         if let (Some(_), Some(it)) = (&released, &manager.releases) {
             futures_lite::future::or(told(), release::play_out(&owner, it.play_out)).await;
         }
-        owner.tell(&Told::Drain);
+        owner.handle(&Told::Drain);
         // Takes no longer than what was answered last takes anyway: nobody waits for the council.
         let left = async {
             if let Some(fleet) = owner.fleet.get() {
@@ -157,7 +157,7 @@
             }
         };
         let done = async {
-            while owner.front(|it| it.waiting()) > 0 {
+            while owner.with_front(|it| it.waiting()) > 0 {
                 Timer::after(Duration::from_millis(10)).await;
             }
             // What was answered last still has to go out.
@@ -193,22 +193,22 @@
 }
 
 /// Members' keys follow one another as players' do; all else of them changes with a restart.
-fn rekey(next: &Manager, running: &Running) {
+fn rekey(next: &ManagerSettings, running: &Running) {
     let (Some(fleet), Some(told)) = (running.owner.fleet.get(), &next.members) else {
         return;
     };
-    match member_keys(told) {
+    match load_member_keys(told) {
         Ok(keys) => fleet.rekey(&keys),
         Err(trouble) => error!(%trouble, "the members' keys were not taken over"),
     }
 }
 
 /// Takes over what can change while it runs; a file with a mistake changes nothing.
-fn reload(path: &Path, manager: &Manager, running: &Running) {
+fn reload(path: &Path, manager: &ManagerSettings, running: &Running) {
     match read(path) {
         Err(trouble) => {
-            for complaint in trouble.to_string().lines() {
-                error!(complaint, "the settings were not taken over");
+            for problem in trouble.to_string().lines() {
+                error!(problem, "the settings were not taken over");
             }
         }
         Ok((_, next, keys)) => {
@@ -225,7 +225,7 @@
             // Its keys are not in the record, and what they sign is.
             release::read_orders(&next, &running.owner);
             running.owner.end_tape();
-            running.owner.front(|it| it.refit(house(&next, keys.clone())));
+            running.owner.with_front(|it| it.refit(front_settings(&next, keys.clone())));
             running.shared.keys.store(Arc::new(keys));
             info!("settings taken over");
         }
--- a/daemon/src/run/nothing.rs
+++ b/daemon/src/run/discard_output.rs
@@ -4,9 +4,9 @@
 use ottersail_front::{AskId, Orders, Reply, SetUp};
 
 /// Wishes before anything has happened: there are none.
-pub struct NoOrders;
+pub struct DiscardOutput;
 
-impl Orders for NoOrders {
+impl Orders for DiscardOutput {
     fn set_up(&mut self, _: &SetUp) {}
     fn call_off(&mut self, _: &ViewingId, _: usize, _: &ServerId, _: &str) {}
     fn change_rung(&mut self, _: &ViewingId, _: &ServerId, _: &str, _: Rung) {}
--- a/daemon/src/run/process.rs
+++ b/daemon/src/run/process.rs
@@ -10,15 +10,15 @@
 pub(super) fn end_with_parent() -> Result<(), RunError> {
     let parent = getppid();
     set_parent_process_death_signal(Some(Signal::KILL))
-        .map_err(|it| RunError::ParentUnheard { why: it.into() })?;
+        .map_err(|it| RunError::ParentDeathSignal { cause: it.into() })?;
     if getppid() != parent || parent == Some(Pid::INIT) {
-        return Err(RunError::ParentGone);
+        return Err(RunError::ParentExited);
     }
     Ok(())
 }
 
 /// Each connection and each set-up that is out takes a descriptor: asks for as many as may be had.
-pub fn raise_files(connections: usize) {
+pub fn raise_open_file_limit(connections: usize) {
     let mut limit = getrlimit(Resource::Nofile);
     limit.current = limit.maximum;
     if let Err(trouble) = setrlimit(Resource::Nofile, limit) {
--- a/daemon/src/run/release.rs
+++ b/daemon/src/run/release.rs
@@ -1,8 +1,8 @@
 //! A manager that goes out by a permit of the fleet: lets play what it holds, and names what to come back with.
 
 use crate::error::RunError;
-use crate::owner::Owner;
-use crate::settings::manager::Manager;
+use crate::owner::PlacementOwner;
+use crate::settings::manager::ManagerSettings;
 use crate::settings::orders::load_orders;
 use ottersail_front::Ms;
 use ottersail_net::Timer;
@@ -16,7 +16,7 @@
 
 /// Reads the orders' file, if this manager is given one, and puts its order before the council. One with a mistake
 /// changes nothing, and this manager goes on.
-pub(super) fn read_orders(manager: &Manager, owner: &Rc<Owner>) {
+pub(super) fn read_orders(manager: &ManagerSettings, owner: &Rc<PlacementOwner>) {
     let file = manager.releases.as_ref().and_then(|it| it.orders.as_ref());
     let (Some(file), Some(fleet)) = (file, owner.fleet.get()) else { return };
     match load_orders(file) {
@@ -29,15 +29,15 @@
             }
         }
         Err(trouble) => {
-            for complaint in trouble.to_string().lines() {
-                error!(target: "releases", complaint, "the orders were not taken over");
+            for problem in trouble.to_string().lines() {
+                error!(target: "releases", problem, "the orders were not taken over");
             }
         }
     }
 }
 
 /// Comes back with the version once a permit is used; never without releases.
-pub(super) async fn goes_out(owner: &Rc<Owner>) -> Option<Name> {
+pub(super) async fn goes_out(owner: &Rc<PlacementOwner>) -> Option<Name> {
     match owner.fleet.get() {
         Some(fleet) => fleet.goes_out().await,
         None => std::future::pending().await,
@@ -45,9 +45,9 @@
 }
 
 /// Waits until nothing plays here any more, but no longer than told.
-pub(super) async fn play_out(owner: &Rc<Owner>, most: Ms) -> Option<Name> {
+pub(super) async fn play_out(owner: &Rc<PlacementOwner>, most: Ms) -> Option<Name> {
     let over = async {
-        while owner.front(|it| it.viewings()) > 0 {
+        while owner.with_front(|it| it.viewings()) > 0 {
             Timer::after(LOOK).await;
         }
     };
@@ -61,7 +61,7 @@
 
 /// Whole or not at all: whoever starts this manager again may look at any time.
 pub(super) fn write_next(file: &Path, version: &Name) -> Result<(), RunError> {
-    let wrong = |why| RunError::Next { file: file.to_path_buf(), why };
+    let wrong = |cause| RunError::WriteNextVersion { file: file.to_path_buf(), cause };
     let beside = file.with_extension("writing");
     std::fs::write(&beside, format!("{version}\n")).map_err(wrong)?;
     std::fs::rename(&beside, file).map_err(wrong)
--- a/daemon/src/run/start.rs
+++ b/daemon/src/run/start.rs
@@ -2,11 +2,11 @@
 
 use crate::error::RunError;
 use crate::metrics::Times;
-use crate::owner::{Owner, Tape};
+use crate::owner::{PlacementOwner, Tape};
 use crate::post::{Core, MOST_NEWS};
 use crate::rescue;
 use crate::service::Service;
-use crate::settings::manager::Manager;
+use crate::settings::manager::ManagerSettings;
 use crate::worker::{Shared, Worker};
 use arc_swap::ArcSwap;
 use async_channel::Receiver;
@@ -29,7 +29,7 @@
 
 /// A manager that runs: the owner of placement on the calling thread, and what all cores share.
 pub struct Running {
-    pub owner: Rc<Owner>,
+    pub owner: Rc<PlacementOwner>,
     pub shared: Arc<Shared>,
     pub server: Arc<Server>,
 }
@@ -42,14 +42,16 @@
 pub fn start(
     exec: Exec,
     clock: Clock,
-    manager: &Manager,
+    manager: &ManagerSettings,
     keys: Keys,
     front: Front,
     tape: Option<Tape>,
 ) -> Result<Running, RunError> {
-    let address: SocketAddr =
-        manager.listen.parse().map_err(|why| RunError::Address { address: manager.listen.clone(), why })?;
-    let listener = listen(address).map_err(|why| RunError::Listen { address, why })?;
+    let address: SocketAddr = manager
+        .listen
+        .parse()
+        .map_err(|cause| RunError::Address { address: manager.listen.clone(), cause })?;
+    let listener = listen(address).map_err(|cause| RunError::Listen { address, cause })?;
     let limits = Limits { connections: manager.connections, head: HEAD };
     let (news, to_owner) = async_channel::bounded(MOST_NEWS);
     let cores: Vec<Arc<Core>> = (0..manager.cores).map(|_| Arc::default()).collect();
@@ -66,7 +68,7 @@
         news,
     });
     let server = Server::new();
-    let owner = Owner::new(clock, front, tape, cores, times, server.clone());
+    let owner = PlacementOwner::new(clock, front, tape, cores, times, server.clone());
     exec.spawn(owner.clone().listen(to_owner)).detach();
     exec.spawn(owner.clone().ring()).detach();
     let mut posts = Vec::new();
@@ -85,7 +87,7 @@
                 _ = work(exec, index, shared, incoming, limits);
                 block_on(exec.run(std::future::pending::<()>()));
             });
-            thread.map_err(|why| RunError::Thread { name: format!("core-{index}"), why })?;
+            thread.map_err(|cause| RunError::Thread { name: format!("core-{index}"), cause })?;
         }
     }
     let (spread, seen) = (Spread::new(manager.cores), shared.clone());
@@ -102,7 +104,7 @@
     };
     let served = server.clone();
     if manager.cores == 1 {
-        let listener = Listener::new(listener).map_err(|why| RunError::Watch { address, why })?;
+        let listener = Listener::new(listener).map_err(|cause| RunError::WatchListener { address, cause })?;
         exec.spawn(accept(Nursery::new(exec), listener, limits, served, hand_on)).detach();
     } else {
         // No core's standstill holds up who comes new.
@@ -115,7 +117,7 @@
             block_on(exec.run(accept(Nursery::new(exec), listener, limits, served, hand_on)));
         };
         let thread = std::thread::Builder::new().name("accept".into()).spawn(accepting);
-        thread.map_err(|why| RunError::Thread { name: "accept".into(), why })?;
+        thread.map_err(|cause| RunError::Thread { name: "accept".into(), cause })?;
     }
     Ok(Running { owner, shared, server })
 }
--- a/daemon/src/settings/council.rs
+++ b/daemon/src/settings/council.rs
@@ -1,7 +1,7 @@
 //! `[council]`: which members keep what all agree on, and how the whole is cut into slots. Off unless told.
 
+use super::ini_file::IniFile;
 use super::members::{short, Members, LETTERS, LONGEST_NAME};
-use super::sheet::Sheet;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
@@ -21,19 +21,19 @@
 /// With 1, 2 or 3 of them lost the others are a majority yet.
 const COUNTS: [usize; 3] = [3, 5, 7];
 
-/// `None` if there is no such section, or if it can't be followed: then a complaint says why.
-pub(super) fn council(sheet: &Sheet, folder: &Path, members: Option<&Members>) -> Option<Council> {
-    let it = sheet.section_if("council")?;
+/// `None` if there is no such section, or if it can't be followed: then a problem says cause.
+pub(super) fn council(ini: &IniFile, folder: &Path, members: Option<&Members>) -> Option<Council> {
+    let it = ini.optional_section("council")?;
     let text = it.text("councillors");
     let councillors: Vec<String> =
         text.split(',').map(str::trim).filter(|it| !it.is_empty()).map(str::to_string).collect();
     let different: BTreeSet<&String> = councillors.iter().collect();
     if let Some(odd) = councillors.iter().find(|it| !short(it)) {
         let rule = format!("expected names of up to {LONGEST_NAME} of {LETTERS}, read {odd:?}");
-        it.complain("councillors", rule);
+        it.add_problem("councillors", rule);
     } else if !COUNTS.contains(&councillors.len()) || different.len() < councillors.len() {
         let rule = format!("expected 3, 5 or 7 different names, read {text:?}");
-        it.complain("councillors", rule);
+        it.add_problem("councillors", rule);
     }
     let store = it.get("store").filter(|it| !it.is_empty()).map(|it| folder.join(it));
     let council = Council {
@@ -44,21 +44,21 @@
         store,
     };
     let Some(members) = members else {
-        // One that is there and wrong has its own complaints.
-        if sheet.section_if("members").is_some() {
+        // One that is there and wrong has its own problems.
+        if ini.optional_section("members").is_some() {
             return None;
         }
         let rule = "[council] needs [members]; write that section too, or take this one out";
-        it.complain("councillors", rule);
+        it.add_problem("councillors", rule);
         return None;
     };
     match (council.councillors.contains(&members.name), &council.store) {
         (true, None) => {
-            it.complain("store", "a councillor needs store = FILE for what it promises to the others")
+            it.add_problem("store", "a councillor needs store = FILE for what it promises to the others")
         }
         (false, Some(_)) => {
             let rule = format!("{} is no councillor and keeps nothing; take store out", members.name);
-            it.complain("store", rule);
+            it.add_problem("store", rule);
         }
         _ => {}
     }
@@ -81,9 +81,9 @@
     }
 
     fn read(text: &str, me: Option<&str>) -> (Option<Council>, Result<(), SettingsError>) {
-        let sheet = Sheet::read("m.ini", text);
+        let ini = IniFile::read("m.ini", text);
         let members = me.map(member);
-        (council(&sheet, Path::new("folder"), members.as_ref()), sheet.end())
+        (council(&ini, Path::new("folder"), members.as_ref()), ini.end())
     }
 
     #[test]
--- a/daemon/src/settings/day.rs
+++ b/daemon/src/settings/day.rs
@@ -2,24 +2,24 @@
 
 use super::error::SettingsError;
 use super::fault::faults;
+use super::ini_file::{IniFile, Section};
 use super::load;
-use super::sheet::{Section, Sheet};
 use super::terms::terms;
 use ottersail::terms::{Repeat, Terms};
 use ottersail::time::Ms;
 use ottersail_fake_servers::{Day, DayPackage, TITLE_STRIDE};
 use ottersail_front::baseline::{Pick, PICKS};
-use ottersail_invariants::record::{Even, PackageTerms, Shapes, Terms as Judged, Titles};
+use ottersail_invariants::record::{Even, PackageTerms, Shapes, Terms as JudgeTerms, Titles};
 use std::path::Path;
 
 /// A day, and the terms of its managers but for number and zone.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct DayPlan {
     pub day: Day,
     pub terms: Terms,
-    pub grace: Ms,
+    pub drain_grace: Ms,
     /// What managers of two shapes may differ by.
-    pub factor: f64,
+    pub shapes_factor: f64,
     /// Before the viewers come, the managers are watched at rest for so long.
     pub rest: Ms,
     /// How even it has to be, where that is told.
@@ -34,34 +34,34 @@
 /// Reads the file of a day.
 ///
 /// # Errors
-/// If it can't be read, or every complaint, each with file and line.
-pub fn load_day(path: &Path) -> Result<Plan, SettingsError> {
-    read_day(path, &load(path)?)
+/// If it can't be read, or every problem, each with file and line.
+pub fn load_day(path: &Path) -> Result<DayPlan, SettingsError> {
+    parse_day(path, &load(path)?)
 }
 
 /// Reads a day's file as text.
 ///
 /// # Errors
-/// Every complaint, each with file and line.
-pub fn read_day(path: &Path, text: &str) -> Result<Plan, SettingsError> {
-    plan(&Sheet::read(&path.display().to_string(), text))
+/// Every problem, each with file and line.
+pub fn parse_day(path: &Path, text: &str) -> Result<DayPlan, SettingsError> {
+    plan(&IniFile::read(&path.display().to_string(), text))
 }
 
-pub(super) fn plan(sheet: &Sheet) -> Result<Plan, SettingsError> {
-    let (day, fleet, players) = (sheet.section("day"), sheet.section("fleet"), sheet.section("players"));
+pub(super) fn plan(ini: &IniFile) -> Result<DayPlan, SettingsError> {
+    let (day, fleet, players) = (ini.section("day"), ini.section("fleet"), ini.section("players"));
     let managers = fleet.whole("managers", 1..=1000);
     let zones: Vec<String> = fleet.text("zones").split(',').map(|it| it.trim().to_string()).collect();
-    let terms = terms(sheet, (0, managers, &zones[0]));
-    let rules = sheet.section("rules");
-    let grace = rules.number("drain-grace-ms", 1.0..=3.6e6);
+    let terms = terms(ini, (0, managers, &zones[0]));
+    let rules = ini.section("rules");
+    let drain_grace = rules.number("drain-grace-ms", 1.0..=3.6e6);
     let worth = players.numbers("worth", 0.0..=1.0);
     if worth.len() != terms.ladder_kb.len() {
-        players.complain("worth", format!("one figure for each of the {} rungs", terms.ladder_kb.len()));
+        players.add_problem("worth", format!("one figure for each of the {} rungs", terms.ladder_kb.len()));
     }
     let (kind, places) =
         terms.places.iter().next().map_or((String::new(), 1.0), |it| (it.0.to_string(), *it.1));
     let part = |section: &Section, key: &str, absent: f64| section.number_or(key, 0.0..=1.0, absent);
-    let packages: Vec<DayPackage> = sheet
+    let packages: Vec<DayPackage> = ini
         .sections("package")
         .iter()
         .zip(&terms.packages)
@@ -69,11 +69,11 @@
             let length = it.numbers("length-s", 1.0..=3600.0);
             let (from, to) = (length.first().copied().unwrap_or(1.0), length.last().copied().unwrap_or(1.0));
             if from > to {
-                it.complain("length-s", "the shortest comes first, then the longest");
+                it.add_problem("length-s", "the shortest comes first, then the longest");
             }
             let patience = it.number("patience-ms", 100.0..=120_000.0);
             if patience < package.join_target.0 {
-                it.complain("patience-ms", "must not be under join-target-ms");
+                it.add_problem("patience-ms", "must not be under join-target-ms");
             }
             DayPackage {
                 name: (*name).to_string(),
@@ -89,7 +89,7 @@
     let pick = day.word_or("pick", PICKS, None);
     let one_seed = day.flag_or("one-seed", false);
     let members = fleet.flag_or("members", false);
-    let even = sheet.section_if("even").map(|it| Even {
+    let even = ini.optional_section("even").map(|it| Even {
         herd: it.number("herd", 1.0..=100.0),
         idle: it.number("idle", 0.0..=1.0),
         over_oracle: it.number("over-oracle", 1.0..=100.0),
@@ -131,22 +131,32 @@
         impatient: part(&players, "impatient", 0.0),
         leave_early: part(&players, "leave-early", 0.0),
         come_again: part(&players, "come-again", 0.8),
-        faults: faults(sheet),
+        faults: faults(ini),
     };
     if day.probing > 0 && !rules.flag_or("probes-allowed", false) {
-        fleet.complain("probing", "needs probes, but [rules] has no probes-allowed = yes");
+        fleet.add_problem("probing", "needs probes, but [rules] has no probes-allowed = yes");
     }
     if !members && day.faults.iter().any(|it| it.gossip().is_some()) {
-        fleet.complain("members", "must be yes: there are faults on what members send");
+        fleet.add_problem("members", "must be yes: there are faults on what members send");
     }
-    let factor = fleet.number_or("shapes-factor", 1.0..=100.0, 2.0);
-    sheet.end()?;
-    Ok(Plan { day, terms, grace: Ms(grace), factor, rest, even, pick, one_seed, members })
+    let shapes_factor = fleet.number_or("shapes-factor", 1.0..=100.0, 2.0);
+    ini.end()?;
+    Ok(DayPlan {
+        day,
+        terms,
+        drain_grace: Ms(drain_grace),
+        shapes_factor,
+        rest,
+        even,
+        pick,
+        one_seed,
+        members,
+    })
 }
 
-impl Plan {
+impl DayPlan {
     /// What the day is judged by.
-    pub fn judged(&self) -> Judged {
+    pub fn judge_terms(&self) -> JudgeTerms {
         let terms = &self.terms;
         let package = |it: &ottersail::terms::Package| {
             let may_repeat = it.repeat != Repeat::AtMostOnce;
@@ -155,10 +165,10 @@
                 PackageTerms { may_repeat, floor: it.floor.0, seats: it.seats, scale: it.scale },
             )
         };
-        let shapes = Shapes { new_from: self.day.managers - self.day.probing, factor: self.factor };
-        Judged {
+        let shapes = Shapes { new_from: self.day.managers - self.day.probing, factor: self.shapes_factor };
+        JudgeTerms {
             shapes: (self.day.probing > 0).then_some(shapes),
-            drain_grace: self.grace.0,
+            drain_grace: self.drain_grace.0,
             cold: terms.cold.lasts.0,
             start_capacity: terms.cold.start_capacity,
             fall_multiple: terms.cold.fall_multiple,
--- a/daemon/src/settings/error.rs
+++ b/daemon/src/settings/error.rs
@@ -9,95 +9,95 @@
 /// Settings that can't be had.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    #[error("{}: {why}; name a settings file that this user may read", file.display())]
-    Unread { file: PathBuf, why: io::Error },
-    #[error("{}: over {most} bytes; name an orders' file, or take out what is none of it", file.display())]
-    Long { file: PathBuf, most: u64 },
+    #[error("{}: {cause}; name a settings file that this user may read", file.display())]
+    Unreadable { file: PathBuf, cause: io::Error },
+    #[error("{}: over {max_bytes} bytes; name an orders' file, or take out what is none of it", file.display())]
+    TooLong { file: PathBuf, max_bytes: u64 },
     /// All that is wrong with the file, by line.
-    #[error("{}", lines(complaints))]
-    Wrong { complaints: Vec<Complaint> },
+    #[error("{}", lines(problems))]
+    Invalid { problems: Vec<Problem> },
 }
 
 impl SettingsError {
-    /// All complaints as one text, set apart.
+    /// All problems as one text, set apart.
     pub fn join(&self, between: &str) -> String {
         match self {
-            SettingsError::Wrong { complaints } => {
-                complaints.iter().map(Complaint::to_string).collect::<Vec<_>>().join(between)
+            SettingsError::Invalid { problems } => {
+                problems.iter().map(Problem::to_string).collect::<Vec<_>>().join(between)
             }
-            SettingsError::Unread { .. } | SettingsError::Long { .. } => self.to_string(),
+            SettingsError::Unreadable { .. } | SettingsError::TooLong { .. } => self.to_string(),
         }
     }
 }
 
-/// One line for each complaint.
+/// One line for each problem.
 impl From<SettingsError> for Vec<String> {
     fn from(it: SettingsError) -> Vec<String> {
         match it {
-            SettingsError::Wrong { complaints } => complaints.iter().map(Complaint::to_string).collect(),
-            SettingsError::Unread { .. } | SettingsError::Long { .. } => vec![it.to_string()],
+            SettingsError::Invalid { problems } => problems.iter().map(Problem::to_string).collect(),
+            SettingsError::Unreadable { .. } | SettingsError::TooLong { .. } => vec![it.to_string()],
         }
     }
 }
 
-fn lines(complaints: &[Complaint]) -> String {
-    complaints.iter().map(Complaint::to_string).collect::<Vec<_>>().join("\n")
+fn lines(problems: &[Problem]) -> String {
+    problems.iter().map(Problem::to_string).collect::<Vec<_>>().join("\n")
 }
 
 /// One thing that is wrong.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub struct Complaint {
+pub struct Problem {
     pub file: String,
     /// From 1; none where it is about the file as a whole.
     pub line: Option<usize>,
-    pub wrong: Wrong,
+    pub kind: ProblemKind,
 }
 
-impl fmt::Display for Complaint {
+impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self.line {
-            Some(line) => write!(f, "{}:{line}: {}", self.file, self.wrong),
-            None => write!(f, "{}: {}", self.file, self.wrong),
+            Some(line) => write!(f, "{}:{line}: {}", self.file, self.kind),
+            None => write!(f, "{}: {}", self.file, self.kind),
         }
     }
 }
 
 /// What is wrong at a place of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Wrong {
-    #[error("[{name}] is there already, at line {before}; write the keys of both under one heading")]
-    SectionTwice { name: String, before: usize },
-    #[error("{key} is there already, at line {before}; keep one of the two")]
-    KeyTwice { key: String, before: usize },
+pub enum ProblemKind {
+    #[error("[{name}] is there already, at line {first_line}; write the keys of both under one heading")]
+    DuplicateSection { name: String, first_line: usize },
+    #[error("{key} is there already, at line {first_line}; keep one of the two")]
+    DuplicateKey { key: String, first_line: usize },
     #[error("{key} stands before the first [section]; write it under the heading it belongs to")]
-    Stray { key: String },
+    KeyOutsideSection { key: String },
     #[error("{text:?} has no value; write key = value, or ; before a remark")]
-    NoValue { text: String },
+    MissingValue { text: String },
     #[error("{text:?} is no heading; write [name]")]
-    NoHeading { text: String },
+    MalformedHeading { text: String },
     #[error("[{name}] is missing; write that heading and its keys")]
-    SectionMissing { name: String },
-    #[error("[{section}] lacks {key}; expected {what}")]
-    KeyMissing { section: String, key: String, what: String },
-    #[error("[{name}] is not known here; {}", instead(near.as_ref().map(|it| format!("[{it}]")), name))]
-    UnknownSection { name: String, near: Option<String> },
-    #[error("{key} is not known in [{section}]; {}", instead(near.clone(), ""))]
-    UnknownKey { section: String, key: String, near: Option<String> },
-    #[error("{key}: expected {what}, read {value:?}")]
-    Misread { section: String, key: String, what: String, value: String },
+    MissingSection { name: String },
+    #[error("[{section}] lacks {key}; expected {expected}")]
+    MissingKey { section: String, key: String, expected: String },
+    #[error("[{name}] is not known here; {}", instead(suggestion.as_ref().map(|it| format!("[{it}]")), name))]
+    UnknownSection { name: String, suggestion: Option<String> },
+    #[error("{key} is not known in [{section}]; {}", instead(suggestion.clone(), ""))]
+    UnknownKey { section: String, key: String, suggestion: Option<String> },
+    #[error("{key}: expected {expected}, read {value:?}")]
+    InvalidValue { section: String, key: String, expected: String, value: String },
     /// A rule between keys, told by who reads them.
-    #[error("{key}: {rule}")]
-    Broken { section: String, key: String, rule: String },
+    #[error("{key}: {message}")]
+    RuleViolation { section: String, key: String, message: String },
     /// About no single key.
-    #[error("{rule}")]
-    Whole { rule: String },
+    #[error("{message}")]
+    General { message: String },
 }
 
-fn instead(near: Option<String>, section: &str) -> String {
+fn instead(suggestion: Option<String>, section: &str) -> String {
     let elsewhere = sections::files(section);
-    match (elsewhere, near) {
+    match (elsewhere, suggestion) {
         (Some(files), _) => format!("it belongs in {files}"),
-        (None, Some(near)) => format!("did you mean {near}?"),
+        (None, Some(suggestion)) => format!("did you mean {suggestion}?"),
         (None, None) => "take it out, or write ; before it".into(),
     }
 }
--- a/daemon/src/settings/fault.rs
+++ b/daemon/src/settings/fault.rs
@@ -1,18 +1,18 @@
 //! `[fault NAME]`: what goes wrong on a day, and when.
 
-use super::sheet::{Section, Sheet};
+use super::ini_file::{IniFile, Section};
 use ottersail_fake_servers::{Fault, Ways, FAR_ENDS, FAULT_KINDS, WAYS};
 
 const SECONDS: std::ops::RangeInclusive<f64> = 0.0..=3600.0;
 
-pub(super) fn faults(sheet: &Sheet) -> Vec<Fault> {
-    sheet.sections("fault").iter().map(|(name, it)| fault(name, it)).collect()
+pub(super) fn faults(ini: &IniFile) -> Vec<Fault> {
+    ini.sections("fault").iter().map(|(name, it)| fault(name, it)).collect()
 }
 
 fn fault(name: &str, it: &Section) -> Fault {
     let (start, end) = (it.number("start-s", SECONDS), it.number("end-s", SECONDS));
     if end <= start {
-        it.complain("end-s", "must be after start-s");
+        it.add_problem("end-s", "must be after start-s");
     }
     Fault {
         name: name.to_string(),
--- a/daemon/src/settings/sheet.rs
+++ b/daemon/src/settings/ini_file.rs
@@ -1,4 +1,4 @@
-//! An INI file with the line of each thing in it, and the complaints about it, all told in one go.
+//! An INI file with the line of each thing in it, and the problems about it, all told in one go.
 //!
 //! Read over `ini_core` and not through a reader for serde: `serde_ini` ends at the first mistake and tells
 //! no line, `rust-ini` and `configparser` keep no lines of keys, and the latter merges what is there twice.
@@ -7,7 +7,7 @@
 mod tests;
 mod values;
 
-use super::error::{nearest, Complaint, SettingsError, Wrong};
+use super::error::{nearest, Problem, ProblemKind, SettingsError};
 use super::sections::NAMED;
 use ini_core::{Item, Parser};
 use std::cell::RefCell;
@@ -32,25 +32,25 @@
 
 /// A settings file as it was read.
 #[derive(Debug)]
-pub struct Sheet {
+pub struct IniFile {
     file: String,
     parts: Vec<Part>,
     /// Headings that were asked for, there or not: those that are known.
     asked: RefCell<BTreeSet<String>>,
-    complaints: RefCell<Vec<(usize, Wrong)>>,
+    problems: RefCell<Vec<(usize, ProblemKind)>>,
 }
 
-/// One part of a sheet, by its heading.
+/// One part of a ini, by its heading.
 pub struct Section<'a> {
-    sheet: &'a Sheet,
+    ini: &'a IniFile,
     part: Option<&'a Part>,
     name: &'a str,
 }
 
-impl Sheet {
-    pub fn read(file: &str, text: &str) -> Sheet {
+impl IniFile {
+    pub fn read(file: &str, text: &str) -> IniFile {
         let mut parts: Vec<Part> = Vec::new();
-        let mut complaints = Vec::new();
+        let mut problems = Vec::new();
         let mut line = 0;
         for item in Parser::new(text) {
             line += usize::from(!matches!(item, Item::SectionEnd));
@@ -58,8 +58,8 @@
                 Item::Section(name) => {
                     let name = name.trim().to_string();
                     if let Some(part) = parts.iter().find(|it| it.name == name) {
-                        let (name, before) = (name.clone(), part.line);
-                        complaints.push((line, Wrong::SectionTwice { name, before }));
+                        let (name, first_line) = (name.clone(), part.line);
+                        problems.push((line, ProblemKind::DuplicateSection { name, first_line }));
                     }
                     let (keys, asked, used) = Default::default();
                     parts.push(Part { name, line, keys, asked, used });
@@ -69,27 +69,24 @@
                     let before = match parts.last_mut() {
                         Some(part) => part.keys.insert(key.clone(), Slot { line, value }),
                         None => {
-                            complaints.push((line, Wrong::Stray { key }));
+                            problems.push((line, ProblemKind::KeyOutsideSection { key }));
                             continue;
                         }
                     };
-                    if let Some(Slot { line: before, .. }) = before {
-                        complaints.push((line, Wrong::KeyTwice { key, before }));
+                    if let Some(Slot { line: first_line, .. }) = before {
+                        problems.push((line, ProblemKind::DuplicateKey { key, first_line }));
                     }
                 }
                 Item::Property(key, None) if !key.trim().is_empty() => {
-                    complaints.push((line, Wrong::NoValue { text: key.to_string() }));
+                    problems.push((line, ProblemKind::MissingValue { text: key.to_string() }));
+                }
+                Item::Error(text) => {
+                    problems.push((line, ProblemKind::MalformedHeading { text: text.to_string() }))
                 }
-                Item::Error(text) => complaints.push((line, Wrong::NoHeading { text: text.to_string() })),
                 _ => {}
             }
         }
-        Sheet {
-            file: file.to_string(),
-            parts,
-            asked: RefCell::default(),
-            complaints: RefCell::new(complaints),
-        }
+        IniFile { file: file.to_string(), parts, asked: RefCell::default(), problems: RefCell::new(problems) }
     }
 
     /// A section that must be there; that it is missing is told once, by the first key that is asked for.
@@ -98,13 +95,13 @@
         self.asked.borrow_mut().insert(name.to_string());
         match part {
             Some(part) => *part.used.borrow_mut() = true,
-            None => self.wrong(0, Wrong::SectionMissing { name: name.to_string() }),
+            None => self.wrong(0, ProblemKind::MissingSection { name: name.to_string() }),
         }
-        Section { sheet: self, part, name }
+        Section { ini: self, part, name }
     }
 
     /// A section that may be left out.
-    pub fn section_if<'a>(&'a self, name: &'a str) -> Option<Section<'a>> {
+    pub fn optional_section<'a>(&'a self, name: &'a str) -> Option<Section<'a>> {
         self.asked.borrow_mut().insert(name.to_string());
         self.parts.iter().any(|it| it.name == name).then(|| self.section(name))
     }
@@ -116,24 +113,24 @@
             let (first, rest) = part.name.split_once(' ')?;
             (first == kind).then(|| {
                 *part.used.borrow_mut() = true;
-                (rest.trim(), Section { sheet: self, part: Some(part), name: &part.name })
+                (rest.trim(), Section { ini: self, part: Some(part), name: &part.name })
             })
         };
         self.parts.iter().filter_map(named).collect()
     }
 
     /// Something is wrong that is about no single key; line 0 is the file as a whole.
-    pub fn complain(&self, line: usize, rule: String) {
-        self.wrong(line, Wrong::Whole { rule });
+    pub fn add_problem(&self, line: usize, message: String) {
+        self.wrong(line, ProblemKind::General { message });
     }
 
-    /// How many complaints there are by now, those about what nobody asked for not counted.
+    /// How many problems there are by now, those about what nobody asked for not counted.
     pub fn told(&self) -> usize {
-        self.complaints.borrow().len()
+        self.problems.borrow().len()
     }
 
-    fn wrong(&self, line: usize, wrong: Wrong) {
-        self.complaints.borrow_mut().push((line, wrong));
+    fn wrong(&self, line: usize, wrong: ProblemKind) {
+        self.problems.borrow_mut().push((line, wrong));
     }
 
     /// Headings that were asked for, those of several with NAME.
@@ -142,22 +139,22 @@
     }
 
     /// Everything that is wrong, by line, what nobody asked for included, as text; empty if all is well.
-    pub fn complaints(&self) -> Vec<String> {
-        self.judged().iter().map(Complaint::to_string).collect()
+    pub fn problems(&self) -> Vec<String> {
+        self.judged().iter().map(Problem::to_string).collect()
     }
 
     /// # Errors
     /// Everything that is wrong, by line, what nobody asked for included.
     pub fn end(&self) -> Result<(), SettingsError> {
-        let complaints = self.judged();
-        if complaints.is_empty() {
+        let problems = self.judged();
+        if problems.is_empty() {
             return Ok(());
         }
-        Err(SettingsError::Wrong { complaints })
+        Err(SettingsError::Invalid { problems })
     }
 
-    fn judged(&self) -> Vec<Complaint> {
-        let mut all = self.complaints.borrow().clone();
+    fn judged(&self) -> Vec<Problem> {
+        let mut all = self.problems.borrow().clone();
         let known = self.asked.borrow();
         for part in &self.parts {
             if !*part.used.borrow() {
@@ -165,23 +162,23 @@
                 if known.contains(&part.name) {
                     continue;
                 }
-                let near = near_heading(&part.name, &known);
-                all.push((part.line, Wrong::UnknownSection { name: part.name.clone(), near }));
+                let suggestion = near_heading(&part.name, &known);
+                all.push((part.line, ProblemKind::UnknownSection { name: part.name.clone(), suggestion }));
                 continue;
             }
             let asked = part.asked.borrow();
             for (key, slot) in part.keys.iter().filter(|it| !asked.contains(it.0)) {
-                let near = nearest(key, asked.iter().map(String::as_str)).map(str::to_string);
+                let suggestion = nearest(key, asked.iter().map(String::as_str)).map(str::to_string);
                 let (section, key) = (part.name.clone(), key.clone());
-                all.push((slot.line, Wrong::UnknownKey { section, key, near }));
+                all.push((slot.line, ProblemKind::UnknownKey { section, key, suggestion }));
             }
         }
         all.sort_by_cached_key(|(line, wrong)| (*line, wrong.to_string()));
         all.dedup();
-        let told = |(line, wrong)| Complaint {
+        let told = |(line, wrong)| Problem {
             file: self.file.clone(),
             line: Some(line).filter(|it| *it > 0),
-            wrong,
+            kind: wrong,
         };
         all.into_iter().map(told).collect()
     }
@@ -208,9 +205,9 @@
     }
 
     /// Something is wrong with a key's value.
-    pub fn complain(&self, key: &str, rule: impl Display) {
-        let (section, rule) = (self.name.to_string(), rule.to_string());
-        self.sheet.wrong(self.line(key), Wrong::Broken { section, key: key.to_string(), rule });
+    pub fn add_problem(&self, key: &str, message: impl Display) {
+        let (section, message) = (self.name.to_string(), message.to_string());
+        self.ini.wrong(self.line(key), ProblemKind::RuleViolation { section, key: key.to_string(), message });
     }
 
     pub fn get(&self, key: &str) -> Option<&'a str> {
--- a/daemon/src/settings/sheet/tests.rs
+++ b/daemon/src/settings/ini_file/tests.rs
@@ -8,18 +8,18 @@
     // The same cases each time; more by PROPTEST_CASES.
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Any text is read, and every complaint names a line that the text has.
+    /// Any text is read, and every problem names a line that the text has.
     #[test]
     fn any_text_is_read_without_harm(text in "(\\[?[a-c ]{0,4}\\]?(=[0-9a-z.,:-]{0,6})?\n){0,12}\\PC{0,20}") {
-        let sheet = Sheet::read("f", &text);
-        let a = sheet.section("a");
+        let ini = IniFile::read("f", &text);
+        let a = ini.section("a");
         a.numbers("b", 0.0..=9.0);
         a.pairs("c", 0.0..=9.0);
         a.whole("a", 0..=9);
         let lines = text.lines().count();
-        for complaint in sheet.complaints() {
-            let line = complaint.split(':').nth(1).and_then(|it| it.parse::<usize>().ok());
-            prop_assert!(line.is_none_or(|it| it >= 1 && it <= lines.max(1)), "{} of {}", complaint, lines);
+        for problem in ini.problems() {
+            let line = problem.split(':').nth(1).and_then(|it| it.parse::<usize>().ok());
+            prop_assert!(line.is_none_or(|it| it >= 1 && it <= lines.max(1)), "{} of {}", problem, lines);
         }
     }
 }
@@ -28,13 +28,13 @@
 fn all_that_is_wrong_is_told_at_once_with_its_line() {
     let text =
         "stray = 1\n[a]\n; a remark\ncount = 12x\nodd = 1\ncount = 3\n[b\n[c]\nnothing\nword = maybe\n[d]\n";
-    let sheet = Sheet::read("f.ini", text);
-    let a = sheet.section("a");
+    let ini = IniFile::read("f.ini", text);
+    let a = ini.section("a");
     assert_eq!(a.whole("count", 1..=9), 3);
     a.number("lacking", 0.0..=1.0);
-    sheet.section("c").word("word", &[("yes", 1), ("no", 0)]);
-    sheet.section("e");
-    let told = sheet.complaints().join("\n");
+    ini.section("c").word("word", &[("yes", 1), ("no", 0)]);
+    ini.section("e");
+    let told = ini.problems().join("\n");
     for expected in [
         "f.ini: [e] is missing",
         "f.ini:1: stray stands before",
@@ -53,21 +53,21 @@
 
 #[test]
 fn ranges_are_told() {
-    let sheet = Sheet::read("f.ini", "[a]\nx = 5\ny = NaN\nz = 1, 2, 30\n");
-    let a = sheet.section("a");
+    let ini = IniFile::read("f.ini", "[a]\nx = 5\ny = NaN\nz = 1, 2, 30\n");
+    let a = ini.section("a");
     a.number("x", 0.0..=1.0);
     a.number("y", 0.0..=1.0);
     assert_eq!(a.numbers("z", 0.0..=9.0), [1.0, 2.0]);
-    let told = sheet.complaints();
+    let told = ini.problems();
     assert_eq!(told.len(), 3, "{told:?}");
     assert!(told[0].contains("expected a number from 0 to 1, read \"5\""), "{told:?}");
 }
 
 #[test]
 fn a_heading_that_is_there_twice_is_told_once() {
-    let sheet = Sheet::read("f.ini", "[a]\nx = 1\n[a]\nx = 2\n");
-    assert_eq!(sheet.section("a").whole("x", 0..=9), 1);
-    let told = sheet.complaints();
+    let ini = IniFile::read("f.ini", "[a]\nx = 1\n[a]\nx = 2\n");
+    assert_eq!(ini.section("a").whole("x", 0..=9), 1);
+    let told = ini.problems();
     assert_eq!(told.len(), 1, "{told:?}");
     assert!(told[0].starts_with("f.ini:3: [a] is there already, at line 1;"), "{told:?}");
 }
--- a/daemon/src/settings/sheet/values.rs
+++ b/daemon/src/settings/ini_file/values.rs
@@ -2,25 +2,26 @@
 //! range is given in its place, so that the rest of the file is looked at too.
 
 use super::Section;
-use crate::settings::error::Wrong;
+use crate::settings::error::ProblemKind;
 use std::fmt::Display;
 use std::ops::RangeInclusive;
 
 impl<'a> Section<'a> {
-    fn want(&self, key: &str, what: &str) -> Option<&'a str> {
+    fn want(&self, key: &str, expected: &str) -> Option<&'a str> {
         let value = self.get(key).filter(|it| !it.is_empty());
         if value.is_none() && self.part.is_some() {
-            let (section, key, what) = (self.name.to_string(), key.to_string(), what.to_string());
-            self.sheet.wrong(self.line(&key), Wrong::KeyMissing { section, key, what });
+            let (section, key, expected) = (self.name.to_string(), key.to_string(), expected.to_string());
+            self.ini.wrong(self.line(&key), ProblemKind::MissingKey { section, key, expected });
         }
         value
     }
 
-    fn misread(&self, key: &str, what: impl Into<String>, value: &str) {
+    fn misread(&self, key: &str, expected: impl Into<String>, value: &str) {
         let line = self.line(key);
         let (section, key) = (self.name.to_string(), key.to_string());
-        let wrong = Wrong::Misread { section, what: what.into(), value: value.to_string(), key };
-        self.sheet.wrong(line, wrong);
+        let wrong =
+            ProblemKind::InvalidValue { section, expected: expected.into(), value: value.to_string(), key };
+        self.ini.wrong(line, wrong);
     }
 
     pub fn text(&self, key: &str) -> String {
@@ -29,22 +30,22 @@
 
     /// `host:port`.
     pub fn address(&self, key: &str) -> String {
-        let what = "an address like 127.0.0.1:8080";
-        let value = self.want(key, what).unwrap_or("127.0.0.1:0");
+        let expected = "an address like 127.0.0.1:8080";
+        let value = self.want(key, expected).unwrap_or("127.0.0.1:0");
         if value.parse::<std::net::SocketAddr>().is_err() {
-            self.misread(key, what, value);
+            self.misread(key, expected, value);
         }
         value.to_string()
     }
 
-    fn parsed<T>(&self, key: &str, value: &str, range: &RangeInclusive<T>, what: &str) -> Option<T>
+    fn parsed<T>(&self, key: &str, value: &str, range: &RangeInclusive<T>, expected: &str) -> Option<T>
     where
         T: std::str::FromStr + PartialOrd + Display + Copy,
     {
         let number = value.parse::<T>().ok().filter(|it| range.contains(it));
         if number.is_none() {
             let (from, to) = (range.start(), range.end());
-            self.misread(key, format!("{what} from {from} to {to}"), value);
+            self.misread(key, format!("{expected} from {from} to {to}"), value);
         }
         number
     }
@@ -88,11 +89,11 @@
     /// One of a few words.
     pub fn word<T: Copy>(&self, key: &str, words: &[(&str, T)]) -> T {
         let names: Vec<&str> = words.iter().map(|it| it.0).collect();
-        let what = format!("one of {}", names.join(", "));
-        let value = self.want(key, &what);
+        let expected = format!("one of {}", names.join(", "));
+        let value = self.want(key, &expected);
         let found = value.and_then(|value| words.iter().find(|it| it.0 == value));
         if let (Some(value), None) = (value, found) {
-            self.misread(key, what, value);
+            self.misread(key, expected, value);
         }
         found.unwrap_or(&words[0]).1
     }
--- a/daemon/src/settings/links.rs
+++ b/daemon/src/settings/links.rs
@@ -1,6 +1,6 @@
 //! `[list]` and `[servers]`: how a manager reaches the list and the servers.
 
-use super::sheet::Sheet;
+use super::ini_file::IniFile;
 use super::SPAN;
 use ottersail::time::Ms;
 
@@ -19,16 +19,16 @@
 }
 
 /// What is sent to a server must be there before a drain's grace is over.
-pub(super) fn links(sheet: &Sheet) -> Links {
-    let (list, servers) = (sheet.section("list"), sheet.section("servers"));
-    let grace = sheet.section("rules").number("drain-grace-ms", SPAN);
+pub(super) fn links(ini: &IniFile) -> Links {
+    let (list, servers) = (ini.section("list"), ini.section("servers"));
+    let grace = ini.section("rules").number("drain-grace-ms", SPAN);
     let send_within = servers.number_or("send-within-ms", SPAN, grace / 4.0);
     if send_within >= grace {
-        servers.complain("send-within-ms", format!("must be under the drain grace of {grace} ms"));
+        servers.add_problem("send-within-ms", format!("must be under the drain grace of {grace} ms"));
     }
     let connect = servers.number_or("connect-ms", SPAN, 250.0_f64.min(grace / 4.0));
     if connect + send_within >= grace {
-        servers.complain(
+        servers.add_problem(
             "connect-ms",
             format!("with send-within-ms it must be under the drain grace of {grace} ms"),
         );
--- a/daemon/src/settings/manager.rs
+++ b/daemon/src/settings/manager.rs
@@ -2,17 +2,17 @@
 
 use super::council::{council, Council};
 use super::error::SettingsError;
+use super::ini_file::{IniFile, Section};
 use super::links::{links, Links};
 use super::members::{members, short, Members, LETTERS, LONGEST_NAME};
 use super::releases::{releases, Releases};
-use super::sheet::{Section, Sheet};
 use super::terms::terms;
 use ottersail::terms::Terms;
 use std::path::{Path, PathBuf};
 
 /// All that a manager reads from its file. Times are in milliseconds.
 #[derive(Clone, Debug)]
-pub struct Manager {
+pub struct ManagerSettings {
     pub terms: Terms,
     pub listen: String,
     pub url: String,
@@ -35,34 +35,34 @@
 /// Reads a manager's file.
 ///
 /// # Errors
-/// Every complaint, each with file and line.
-pub fn read_manager(path: &Path, text: &str) -> Result<Manager, SettingsError> {
-    let sheet = Sheet::read(&path.display().to_string(), text);
-    manager(&sheet, path.parent().unwrap_or(Path::new(".")))
+/// Every problem, each with file and line.
+pub fn parse_manager(path: &Path, text: &str) -> Result<ManagerSettings, SettingsError> {
+    let ini = IniFile::read(&path.display().to_string(), text);
+    manager(&ini, path.parent().unwrap_or(Path::new(".")))
 }
 
 /// `folder` is where the settings lie, and files that they name.
-pub(super) fn manager(sheet: &Sheet, folder: &Path) -> Result<Manager, SettingsError> {
-    let me = sheet.section("manager");
+pub(super) fn manager(ini: &IniFile, folder: &Path) -> Result<ManagerSettings, SettingsError> {
+    let me = ini.section("manager");
     let number = me.whole("number", 0..=1_000_000);
     let managers = me.whole("managers", 1..=1_000_000);
     if number >= managers {
-        me.complain("number", format!("counts from 0 and must be under managers, {managers}"));
+        me.add_problem("number", format!("counts from 0 and must be under managers, {managers}"));
     }
-    let members = members(sheet, folder, number);
-    let council = council(sheet, folder, members.as_ref());
-    let releases = releases(sheet, folder, (members.as_ref(), council.as_ref()));
+    let members = members(ini, folder, number);
+    let council = council(ini, folder, members.as_ref());
+    let releases = releases(ini, folder, (members.as_ref(), council.as_ref()));
     let zone = me.text("zone");
     if members.is_some() && !short(&zone) {
-        me.complain(
+        me.add_problem(
             "zone",
             format!("with [members] expected up to {LONGEST_NAME} of {LETTERS}, read {zone:?}"),
         );
     }
-    let (mut terms, links) = (terms(sheet, (number, managers, &zone)), links(sheet));
+    let (mut terms, links) = (terms(ini, (number, managers, &zone)), links(ini));
     terms.cold.arrives_within = links.send_within;
     let listen = me.address("listen");
-    let manager = Manager {
+    let manager = ManagerSettings {
         url: me.get("url").map_or_else(|| format!("http://{listen}"), str::to_string),
         keys: folder.join(me.text("keys")),
         ticket_s: me.whole_or("ticket-s", 10..=86_400, 600),
@@ -78,9 +78,9 @@
         listen,
     };
     if !manager.url.starts_with("http://") && !manager.url.starts_with("https://") {
-        me.complain("url", format!("expected http://host:port, read {:?}", manager.url));
+        me.add_problem("url", format!("expected http://host:port, read {:?}", manager.url));
     }
-    sheet.end()?;
+    ini.end()?;
     Ok(manager)
 }
 
@@ -97,7 +97,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::settings::write::{write_manager, Post};
+    use crate::settings::write::{write_manager, LocalSettings};
     use ottersail::time::Ms;
     use test_case::test_case;
 
@@ -111,8 +111,8 @@
         join-target-ms = 800\nrepeat = safe\nfloor = 1\n[package rides]\nvalue = 3\njoin-target-ms = 1000\n\
         repeat = keyed\ngroup = zone\nwindow-ms = 5000\nseats = 4\n[tenant coop]\nallowance-per-s = 2.5\n";
 
-    fn read(text: &str) -> Result<Manager, SettingsError> {
-        read_manager(Path::new("m.ini"), text)
+    fn read(text: &str) -> Result<ManagerSettings, SettingsError> {
+        parse_manager(Path::new("m.ini"), text)
     }
 
     const MEMBERS: &str = "[members]\ncluster = east\nlisten = 127.0.0.1:1\nkeys = m\nseeds = 127.0.0.1:2\n";
@@ -149,7 +149,7 @@
     #[test_case(FILE.to_string() + MEMBERS + COUNCIL + RELEASES; "releases")]
     fn what_is_written_is_read_again(text: String) {
         let first = read(&text).unwrap();
-        let post = Post {
+        let local = LocalSettings {
             listen: "127.0.0.1:8080",
             list: "127.0.0.1:8500",
             keys: "k",
@@ -161,7 +161,7 @@
             council: first.council.as_ref(),
             releases: first.releases.as_ref(),
         };
-        let again = read(&write_manager(&first.terms, &post)).unwrap();
+        let again = read(&write_manager(&first.terms, &local)).unwrap();
         assert_eq!(format!("{first:?}"), format!("{again:?}"));
     }
 
--- a/daemon/src/settings/members.rs
+++ b/daemon/src/settings/members.rs
@@ -1,6 +1,6 @@
 //! `[members]`: the other managers that this one knows as members of its cluster. Off unless told.
 
-use super::sheet::{Section, Sheet};
+use super::ini_file::{IniFile, Section};
 use ottersail::time::Ms;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
@@ -26,8 +26,8 @@
 const MOST_SEEDS: usize = 32;
 const ADDRESS: &str = "an IPv4 address like 10.0.0.1:7946";
 
-pub(super) fn members(sheet: &Sheet, folder: &Path, number: u64) -> Option<Members> {
-    let it = sheet.section_if("members")?;
+pub(super) fn members(ini: &IniFile, folder: &Path, number: u64) -> Option<Members> {
+    let it = ini.optional_section("members")?;
     let own = format!("manager-{number}");
     let name = if it.get("name").is_some() { named(&it, "name") } else { own };
     let cluster = named(&it, "cluster");
@@ -40,12 +40,12 @@
     if advertise.is_some_and(|it| it.ip().is_unspecified() || it.port() == 0) {
         let key = if it.get("advertise").is_some() { "advertise" } else { "listen" };
         let rule = "must be one that the others can reach; write advertise = IP:PORT beside listen";
-        it.complain(key, rule);
+        it.add_problem(key, rule);
     }
     let texts = it.get("seeds").unwrap_or("").split(',').map(str::trim).filter(|it| !it.is_empty());
     let seeds: Vec<SocketAddrV4> = texts.filter_map(|text| address(&it, "seeds", text)).collect();
     if seeds.len() > MOST_SEEDS {
-        it.complain("seeds", format!("must be {MOST_SEEDS} at most, {} are there", seeds.len()));
+        it.add_problem("seeds", format!("must be {MOST_SEEDS} at most, {} are there", seeds.len()));
     }
     Some(Members {
         name,
@@ -68,7 +68,7 @@
     let text = it.text(key);
     // That it is missing has been told.
     if !short(&text) {
-        it.complain(key, format!("expected up to {LONGEST_NAME} of {LETTERS}, read {text:?}"));
+        it.add_problem(key, format!("expected up to {LONGEST_NAME} of {LETTERS}, read {text:?}"));
     }
     text
 }
@@ -76,7 +76,7 @@
 fn address(it: &Section, key: &str, text: &str) -> Option<SocketAddrV4> {
     let read = text.parse().ok();
     if read.is_none() && !text.is_empty() {
-        it.complain(key, format!("expected {ADDRESS}, read {text:?}"));
+        it.add_problem(key, format!("expected {ADDRESS}, read {text:?}"));
     }
     read
 }
@@ -90,8 +90,8 @@
     const FILE: &str = "[members]\ncluster = east\nlisten = 127.0.0.1:7946\nkeys = m\n";
 
     fn read(text: &str) -> (Option<Members>, Result<(), SettingsError>) {
-        let sheet = Sheet::read("m.ini", text);
-        (members(&sheet, Path::new("folder"), 7), sheet.end())
+        let ini = IniFile::read("m.ini", text);
+        (members(&ini, Path::new("folder"), 7), ini.end())
     }
 
     #[test]
--- a/daemon/src/settings/mod.rs
+++ b/daemon/src/settings/mod.rs
@@ -1,10 +1,11 @@
-//! Settings files: INI, read with their lines so that every complaint tells where it belongs. Which sections
+//! Settings files: INI, read with their lines so that every problem tells where it belongs. Which sections
 //! there are is listed in [`sections`].
 
 pub mod council;
 pub mod day;
 pub mod error;
 mod fault;
+pub mod ini_file;
 pub mod links;
 pub mod manager;
 pub mod members;
@@ -12,7 +13,6 @@
 mod package;
 pub mod releases;
 pub mod sections;
-pub mod sheet;
 mod terms;
 mod values;
 pub mod write;
@@ -25,7 +25,8 @@
 /// # Errors
 /// If it can't be read.
 pub fn load(file: &Path) -> Result<String, SettingsError> {
-    std::fs::read_to_string(file).map_err(|why| SettingsError::Unread { file: file.to_path_buf(), why })
+    std::fs::read_to_string(file)
+        .map_err(|cause| SettingsError::Unreadable { file: file.to_path_buf(), cause })
 }
 
 /// Times that are told in milliseconds: up to an hour.
--- a/daemon/src/settings/orders.rs
+++ b/daemon/src/settings/orders.rs
@@ -5,7 +5,7 @@
 mod tests;
 
 use super::error::SettingsError;
-use super::sheet::{Section, Sheet};
+use super::ini_file::{IniFile, Section};
 use super::values::{name, names, part_or, percent, steps, who, zones, NAMES};
 use ottersail_rollout::{Bounds, Fault, Halts, Name, Order, Serial, State, Step, Who};
 use std::io::Read;
@@ -29,9 +29,9 @@
 const TEN_THOUSAND: u16 = 10_000;
 
 /// # Errors
-/// If the file can't be read or is too long, or every complaint, each with file and line.
+/// If the file can't be read or is too long, or every problem, each with file and line.
 pub fn load_orders(path: &Path) -> Result<Orders, SettingsError> {
-    let unread = |why| SettingsError::Unread { file: path.to_path_buf(), why };
+    let unread = |cause| SettingsError::Unreadable { file: path.to_path_buf(), cause };
     // A pipe would hold the manager up until somebody writes into it.
     if !std::fs::metadata(path).map_err(unread)?.is_file() {
         return Err(unread(std::io::Error::other("it is no plain file")));
@@ -40,7 +40,7 @@
     let file = std::fs::File::open(path).map_err(unread)?;
     let bytes = file.take(MOST_BYTES + 1).read_to_string(&mut text).map_err(unread)?;
     if bytes as u64 > MOST_BYTES {
-        return Err(SettingsError::Long { file: path.to_path_buf(), most: MOST_BYTES });
+        return Err(SettingsError::TooLong { file: path.to_path_buf(), max_bytes: MOST_BYTES });
     }
     read_orders(path, &text)
 }
@@ -48,12 +48,12 @@
 /// Reads an orders' file as text.
 ///
 /// # Errors
-/// Every complaint, each with file and line.
+/// Every problem, each with file and line.
 pub fn read_orders(path: &Path, text: &str) -> Result<Orders, SettingsError> {
     // Some editors write a mark before the first line, and that heading would not be one.
-    let sheet = Sheet::read(&path.display().to_string(), text.trim_start_matches('\u{feff}'));
-    let orders = orders(&sheet);
-    sheet.end()?;
+    let ini = IniFile::read(&path.display().to_string(), text.trim_start_matches('\u{feff}'));
+    let orders = orders(&ini);
+    ini.end()?;
     Ok(orders)
 }
 
@@ -64,35 +64,35 @@
     first.starts_with("[release ") || first.starts_with("[drain ")
 }
 
-pub(super) fn orders(sheet: &Sheet) -> Orders {
-    Orders { release: single(sheet, "release"), drain: single(sheet, "drain") }
+pub(super) fn orders(ini: &IniFile) -> Orders {
+    Orders { release: single(ini, "release"), drain: single(ini, "drain") }
 }
 
-fn single(sheet: &Sheet, kind: &str) -> Option<Order> {
-    let sections = sheet.sections(kind);
-    let all: Vec<Order> = sections.iter().map(|(name, it)| order(sheet, (kind, name), it)).collect();
+fn single(ini: &IniFile, kind: &str) -> Option<Order> {
+    let sections = ini.sections(kind);
+    let all: Vec<Order> = sections.iter().map(|(name, it)| order(ini, (kind, name), it)).collect();
     for (name, it) in sections.iter().skip(1).filter(|it| it.0 != sections[0].0) {
         let before = sections[0].0;
         let rule = format!(
             "[{kind} {name}] is a second {kind}, beside [{kind} {before}]; one at a time: take one out"
         );
-        sheet.complain(it.heading(), rule);
+        ini.add_problem(it.heading(), rule);
     }
     all.into_iter().next()
 }
 
-fn order(sheet: &Sheet, (kind, title): (&str, &str), it: &Section) -> Order {
-    let before = sheet.told();
+fn order(ini: &IniFile, (kind, title): (&str, &str), it: &Section) -> Order {
+    let before = ini.told();
     let managers = kind == "release";
     let named = Name::new(title);
     if named.is_none() {
         let rule = format!("[{kind} {title}]: expected a name of {NAMES}");
-        sheet.complain(it.heading(), rule);
+        ini.add_problem(it.heading(), rule);
     }
     let version = |key| if managers { name(it, key) } else { Name::default() };
     let (version, back) = (version("version"), version("before"));
     if managers && version == back && version != Name::default() {
-        it.complain("before", format!("must be another than version, {version}; a way back leads to it"));
+        it.add_problem("before", format!("must be another than version, {version}; a way back leads to it"));
     }
     let (least_holders, headroom) = match managers {
         true => (0, 0),
@@ -102,7 +102,7 @@
     if !(1..=TEN_THOUSAND / 2).contains(&alarms) {
         let (least, most) = (percent(1, TEN_THOUSAND), percent(TEN_THOUSAND / 2, TEN_THOUSAND));
         let read = percent(alarms, TEN_THOUSAND);
-        it.complain("alarms", format!("expected a part from {least} to {most}, read {read}"));
+        it.add_problem("alarms", format!("expected a part from {least} to {most}, read {read}"));
     }
     let order = Order {
         serial: Serial(it.whole("serial", 1..=MOST_SERIAL)),
@@ -130,10 +130,10 @@
         struck: names(it, "strike", it.get("strike").unwrap_or("")),
     };
     // What was filled in for a key that can't be read would be complained of a second time.
-    if let (true, Err(fault)) = (sheet.told() == before, order.check()) {
+    if let (true, Err(fault)) = (ini.told() == before, order.check()) {
         match key(&fault, &order) {
-            Some(key) => it.complain(key, fault),
-            None => sheet.complain(it.heading(), format!("[{kind} {title}]: {fault}")),
+            Some(key) => it.add_problem(key, fault),
+            None => ini.add_problem(it.heading(), format!("[{kind} {title}]: {fault}")),
         }
     }
     order
--- a/daemon/src/settings/package.rs
+++ b/daemon/src/settings/package.rs
@@ -1,27 +1,27 @@
 //! `[package NAME]` and `[tenant NAME]`: what viewers buy, and who resells it.
 
-use super::sheet::{Section, Sheet};
+use super::ini_file::{IniFile, Section};
 use super::SPAN;
 use ottersail::ids::Rung;
 use ottersail::terms::{Group, Package, Repeat, Tenant};
 use ottersail::time::Ms;
 
 /// At least one package is needed; `rungs` is how many the ladder has.
-pub(super) fn packages(sheet: &Sheet, rungs: usize) -> Vec<Package> {
+pub(super) fn packages(ini: &IniFile, rungs: usize) -> Vec<Package> {
     let all: Vec<Package> =
-        sheet.sections("package").iter().map(|(name, part)| package(name, part, rungs)).collect();
+        ini.sections("package").iter().map(|(name, part)| package(name, part, rungs)).collect();
     if all.is_empty() {
-        sheet.complain(0, "no [package NAME]; at least one is needed".into());
+        ini.add_problem(0, "no [package NAME]; at least one is needed".into());
     }
     all
 }
 
-pub(super) fn tenants(sheet: &Sheet) -> Vec<Tenant> {
+pub(super) fn tenants(ini: &IniFile) -> Vec<Tenant> {
     let tenant = |(name, part): &(&str, Section)| Tenant {
         name: (*name).to_string(),
         allowance_per_s: part.number("allowance-per-s", 0.0..=1e9),
     };
-    sheet.sections("tenant").iter().map(tenant).collect()
+    ini.sections("tenant").iter().map(tenant).collect()
 }
 
 fn package(name: &str, part: &Section, rungs: usize) -> Package {
@@ -45,7 +45,7 @@
     let floor = part.whole_or("floor", 0..=last, 0) as usize;
     let top = part.whole_or("top", 0..=last, last) as usize;
     if floor > top {
-        part.complain("floor", format!("must not be above top, {top}"));
+        part.add_problem("floor", format!("must not be above top, {top}"));
     }
     Package {
         name: name.to_string(),
--- a/daemon/src/settings/releases.rs
+++ b/daemon/src/settings/releases.rs
@@ -2,8 +2,8 @@
 //! orders' file. Off unless told.
 
 use super::council::Council;
+use super::ini_file::IniFile;
 use super::members::Members;
-use super::sheet::Sheet;
 use super::values::NAMES;
 use ottersail::time::Ms;
 use ottersail_rollout::Name;
@@ -23,17 +23,17 @@
 
 const HOUR: f64 = 3.6e6;
 
-/// `None` if there is no such section, or if it can't be followed: then a complaint says why.
+/// `None` if there is no such section, or if it can't be followed: then a problem says cause.
 pub(super) fn releases(
-    sheet: &Sheet,
+    ini: &IniFile,
     folder: &Path,
     (members, council): (Option<&Members>, Option<&Council>),
 ) -> Option<Releases> {
-    let it = sheet.section_if("releases")?;
+    let it = ini.optional_section("releases")?;
     let told = it.get("version").unwrap_or(env!("CARGO_PKG_VERSION"));
     let version = Name::new(told);
     if version.is_none() {
-        it.complain("version", format!("expected {NAMES}, read {told:?}"));
+        it.add_problem("version", format!("expected {NAMES}, read {told:?}"));
     }
     let file = |key: &str| it.get(key).filter(|it| !it.is_empty()).map(|it| folder.join(it));
     let (orders, next) = (file("orders"), folder.join(it.text("next")));
@@ -42,14 +42,14 @@
     let store = council.and_then(|it| it.store.as_ref()).map(|it| ("[council] store", it));
     let others = orders.as_ref().map(|it| ("orders", it)).into_iter().chain(keys).chain(store);
     for (other, _) in others.filter(|it| *it.1 == next) {
-        it.complain("next", format!("must be a file of its own, and is that of {other} too"));
+        it.add_problem("next", format!("must be a file of its own, and is that of {other} too"));
     }
     let play_out = Ms(it.number_or("play-out-ms", 0.0..=HOUR, 0.0));
-    // Those that are there and wrong have their own complaints.
-    let lacks = |it: &&&str| sheet.section_if(it).is_none();
+    // Those that are there and wrong have their own problems.
+    let lacks = |it: &&&str| ini.optional_section(it).is_none();
     if let Some(lacking) = ["members", "council"].iter().find(lacks) {
         let rule = format!("[releases] needs [{lacking}]; write that section too, or take this one out");
-        sheet.complain(it.heading(), rule);
+        ini.add_problem(it.heading(), rule);
     }
     Some(Releases { orders, version: version?, next, play_out }).filter(|_| council.is_some())
 }
@@ -58,17 +58,17 @@
 mod tests {
     use super::*;
     use crate::settings::error::SettingsError;
-    use crate::settings::manager::read_manager;
+    use crate::settings::manager::parse_manager;
     use test_case::test_case;
 
     const FILE: &str = "[releases]\nnext = n\n[members]\ncluster = c\nlisten = 127.0.0.1:1\nkeys = k\n\
         [council]\ncouncillors = manager-0, b, c\nstore = s\n";
 
     fn read(text: &str) -> (Option<Releases>, Result<(), SettingsError>) {
-        let (sheet, folder) = (Sheet::read("m.ini", text), Path::new("folder"));
-        let members = crate::settings::members::members(&sheet, folder, 0);
-        let council = crate::settings::council::council(&sheet, folder, members.as_ref());
-        (releases(&sheet, folder, (members.as_ref(), council.as_ref())), sheet.end())
+        let (ini, folder) = (IniFile::read("m.ini", text), Path::new("folder"));
+        let members = crate::settings::members::members(&ini, folder, 0);
+        let council = crate::settings::council::council(&ini, folder, members.as_ref());
+        (releases(&ini, folder, (members.as_ref(), council.as_ref())), ini.end())
     }
 
     #[test]
@@ -116,7 +116,7 @@
 
     #[test]
     fn an_order_in_a_managers_file_is_sent_to_its_own() {
-        let told = read_manager(Path::new("m.ini"), "[release a]\nserial = 1\n").unwrap_err().to_string();
+        let told = parse_manager(Path::new("m.ini"), "[release a]\nserial = 1\n").unwrap_err().to_string();
         assert!(
             told.contains("m.ini:1: [release a] is not known here; it belongs in an orders' file"),
             "{told}"
--- a/daemon/src/settings/sections.rs
+++ b/daemon/src/settings/sections.rs
@@ -1,6 +1,6 @@
 //! All sections that settings have, and the module that reads each. A further one gets a module with a
-//! function that takes the [`Sheet`](super::sheet::Sheet), its line here, and its call in `read_manager` or
-//! `read_day`; one that is off unless told asks with [`section_if`](super::sheet::Sheet::section_if).
+//! function that takes the [`IniFile`](super::ini_file::IniFile), its line here, and its call in `parse_manager` or
+//! `parse_day`; one that is off unless told asks with [`optional_section`](super::ini_file::IniFile::optional_section).
 
 /// The files in which a section may stand.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,8 +54,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::settings::sheet::Sheet;
-    use crate::settings::write::{write_manager, Post};
+    use crate::settings::ini_file::IniFile;
+    use crate::settings::write::{write_manager, LocalSettings};
     use crate::settings::{day, manager, orders};
     use ottersail::time::Ms;
     use std::collections::BTreeSet;
@@ -70,14 +70,14 @@
     /// A section that is read but not listed, or listed and read by nobody, is found here.
     #[test]
     fn the_list_names_all_sections_that_are_read() {
-        let sheet = Sheet::read("day.ini", DAY);
-        let plan = day::plan(&sheet).unwrap();
-        assert_eq!(sheet.asked(), listed(&[In::Day, In::Both]));
-        let post = Post {
+        let ini = IniFile::read("day.ini", DAY);
+        let plan = day::plan(&ini).unwrap();
+        assert_eq!(ini.asked(), listed(&[In::Day, In::Both]));
+        let local = LocalSettings {
             listen: "127.0.0.1:1",
             list: "127.0.0.1:2",
             keys: "k",
-            grace: plan.grace,
+            grace: plan.drain_grace,
             list_wait: Ms(2_000.0),
             silence: Ms(3_000.0),
             cores: 1,
@@ -85,11 +85,11 @@
             council: None,
             releases: None,
         };
-        let sheet = Sheet::read("m.ini", &write_manager(&plan.terms, &post));
-        manager::manager(&sheet, Path::new(".")).unwrap();
-        assert_eq!(sheet.asked(), listed(&[In::Manager, In::Both]));
-        let sheet = Sheet::read("o.ini", "");
-        orders::orders(&sheet);
-        assert_eq!(sheet.asked(), listed(&[In::Orders]));
+        let ini = IniFile::read("m.ini", &write_manager(&plan.terms, &local));
+        manager::manager(&ini, Path::new(".")).unwrap();
+        assert_eq!(ini.asked(), listed(&[In::Manager, In::Both]));
+        let ini = IniFile::read("o.ini", "");
+        orders::orders(&ini);
+        assert_eq!(ini.asked(), listed(&[In::Orders]));
     }
 }
--- a/daemon/src/settings/terms.rs
+++ b/daemon/src/settings/terms.rs
@@ -1,35 +1,35 @@
 //! `[ladder]` and `[rules]`: the terms that managers of one fleet share, in a manager's file and in a day's.
 
+use super::ini_file::{IniFile, Section};
 use super::package::{packages, tenants};
-use super::sheet::{Section, Sheet};
 use super::SPAN;
 use ottersail::ids::{Kind, ManagerIx};
 use ottersail::terms::{Budget, ColdPace, Terms};
 use ottersail::time::Ms;
 
 /// The terms of a manager, by number, count and zone, from the sections that a day's file has too.
-pub fn terms(sheet: &Sheet, (number, managers, zone): (u64, u64, &str)) -> Terms {
-    let ladder = sheet.section("ladder");
-    let rules = sheet.section("rules");
+pub fn terms(ini: &IniFile, (number, managers, zone): (u64, u64, &str)) -> Terms {
+    let ladder = ini.section("ladder");
+    let rules = ini.section("rules");
     let ladder_kb = ladder.numbers("rates-kb", 0.001..=1e9);
     if ladder_kb.windows(2).any(|it| it[0] >= it[1]) {
-        ladder.complain("rates-kb", "each rung's rate must be higher than the one before");
+        ladder.add_problem("rates-kb", "each rung's rate must be higher than the one before");
     }
-    let packages = packages(sheet, ladder_kb.len());
+    let packages = packages(ini, ladder_kb.len());
     let worth = if ladder.get("worth").is_some() { ladder.numbers("worth", 0.0..=1.0) } else { Vec::new() };
     if !worth.is_empty() && worth.len() != ladder_kb.len() {
-        ladder.complain("worth", format!("one figure for each of the {} rungs", ladder_kb.len()));
+        ladder.add_problem("worth", format!("one figure for each of the {} rungs", ladder_kb.len()));
     }
     let join = ladder.number_or("join", 0.0..=1.0, 1.0);
-    for (_, part) in sheet.sections("package").iter().filter(|it| it.1.flag_or("live", false)) {
+    for (_, part) in ini.sections("package").iter().filter(|it| it.1.flag_or("live", false)) {
         if join >= 1.0 {
-            part.complain("live", "shares streams, but [ladder] has no join under 1");
+            part.add_problem("live", "shares streams, but [ladder] has no join under 1");
         }
     }
     let reports_on_probe = ladder.flag_or("reports-on-probe", false);
     let probes_allowed = rules.flag_or("probes-allowed", false);
     if reports_on_probe && !probes_allowed {
-        ladder.complain("reports-on-probe", "needs probes, but [rules] has no probes-allowed = yes");
+        ladder.add_problem("reports-on-probe", "needs probes, but [rules] has no probes-allowed = yes");
     }
     let kinds = ladder.pairs("places", 1.0..=1e9);
     Terms {
@@ -37,7 +37,7 @@
         managers: managers as f64,
         zone: zone.into(),
         packages,
-        tenants: tenants(sheet),
+        tenants: tenants(ini),
         cells: ladder.whole("cells", 1..=1_000_000),
         racks: ladder.whole("racks", 1..=1_000_000),
         link_unit_kb: ladder.number("link-unit-kb", 0.001..=1e12),
--- a/daemon/src/settings/values.rs
+++ b/daemon/src/settings/values.rs
@@ -1,6 +1,6 @@
 //! Values of an orders' file: names, parts, steps, zones. What can't be read is complained of.
 
-use super::sheet::Section;
+use super::ini_file::Section;
 use ottersail_rollout::{Name, Step, Who};
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
     let Some(text) = it.get(key) else { return absent };
     part(text, of).unwrap_or_else(|| {
         let least = percent(1, of);
-        it.complain(key, format!("expected a part like 5%, in steps of {least}, read {text:?}"));
+        it.add_problem(key, format!("expected a part like 5%, in steps of {least}, read {text:?}"));
         absent
     })
 }
@@ -37,7 +37,7 @@
     Name::new(&text).unwrap_or_else(|| {
         // That it is missing has been told.
         if !text.is_empty() {
-            it.complain(key, format!("expected {NAMES}, read {text:?}"));
+            it.add_problem(key, format!("expected {NAMES}, read {text:?}"));
         }
         Name::default()
     })
@@ -52,14 +52,14 @@
     let named = |text: &str| {
         let name = Name::new(text);
         if name.is_none() {
-            it.complain(key, format!("expected names of {NAMES}, read {text:?}"));
+            it.add_problem(key, format!("expected names of {NAMES}, read {text:?}"));
         }
         name
     };
     let mut all: Vec<Name> = listed(text).filter_map(named).collect();
     all.sort();
     if let Some(two) = all.windows(2).find(|it| it[0] == it[1]) {
-        it.complain(key, format!("{} is there twice; take one out", two[0]));
+        it.add_problem(key, format!("{} is there twice; take one out", two[0]));
     }
     all
 }
@@ -75,7 +75,7 @@
             let names = names(it, "who", text);
             if names.len() > MOST_NAMED {
                 let rule = format!("{} names; {MOST_NAMED} are the most, take some out", names.len());
-                it.complain("who", rule);
+                it.add_problem("who", rule);
             }
             Some(Who::Named(names))
         }
@@ -84,7 +84,7 @@
     who.unwrap_or_else(|| {
         if !text.is_empty() {
             let rule = format!("expected all, zone NAME, name A, B or part 10%, read {text:?}");
-            it.complain("who", rule);
+            it.add_problem("who", rule);
         }
         Who::All
     })
@@ -100,7 +100,7 @@
             _ => text.parse().ok().filter(|it| *it > 0).map(Step::Count),
         };
         if step.is_none() {
-            it.complain("steps", format!("expected one, a number, a part like 5%, or all, read {text:?}"));
+            it.add_problem("steps", format!("expected one, a number, a part like 5%, or all, read {text:?}"));
         }
         step
     };
@@ -110,7 +110,7 @@
         _ => false,
     };
     if all.windows(2).any(falls) {
-        it.complain("steps", format!("must grow from step to step, read {text:?}"));
+        it.add_problem("steps", format!("must grow from step to step, read {text:?}"));
     }
     all
 }
@@ -126,11 +126,11 @@
         };
         let Some((name, bounds)) = zone else {
             let rule = "expected zones like east 20 2 (name, how many belong to it, most out)";
-            it.complain("zones", format!("{rule}, read {text:?}"));
+            it.add_problem("zones", format!("{rule}, read {text:?}"));
             continue;
         };
         if zones.insert(name.clone(), bounds).is_some() {
-            it.complain("zones", format!("{name} is there twice; take one out"));
+            it.add_problem("zones", format!("{name} is there twice; take one out"));
         }
     }
     zones
--- a/daemon/src/settings/write.rs
+++ b/daemon/src/settings/write.rs
@@ -7,7 +7,7 @@
 use ottersail::time::Ms;
 
 /// What of a manager's file is not in its terms.
-pub struct Post<'a> {
+pub struct LocalSettings<'a> {
     pub listen: &'a str,
     pub list: &'a str,
     pub keys: &'a str,
@@ -20,11 +20,11 @@
     pub releases: Option<&'a Releases>,
 }
 
-/// Writes a manager's file; [`read_manager`](super::manager::read_manager) reads the same terms from it.
-pub fn write_manager(terms: &Terms, post: &Post) -> String {
+/// Writes a manager's file; [`parse_manager`](super::manager::parse_manager) reads the same terms from it.
+pub fn write_manager(terms: &Terms, local: &LocalSettings) -> String {
     let yes = |it: bool| if it { "yes" } else { "no" };
     let join = |all: &[f64]| all.iter().map(f64::to_string).collect::<Vec<_>>().join(", ");
-    let Post { listen, list, keys, grace, list_wait, silence, cores, .. } = post;
+    let LocalSettings { listen, list, keys, grace, list_wait, silence, cores, .. } = local;
     let places: Vec<String> = terms.places.iter().map(|(kind, places)| format!("{kind}:{places}")).collect();
     let mut text = format!(
         "[manager]\nnumber = {}\nmanagers = {}\nzone = {}\nlisten = {listen}\nkeys = {keys}\n\
@@ -93,7 +93,7 @@
             }
         };
     }
-    if let Some(it) = post.members {
+    if let Some(it) = local.members {
         let seeds = it.seeds.iter().map(|it| it.to_string()).collect::<Vec<_>>().join(", ");
         let Members { name, cluster, listen, advertise, keys, period, .. } = it;
         text += &format!(
@@ -103,7 +103,7 @@
             period.0
         );
     }
-    if let Some(it) = post.council {
+    if let Some(it) = local.council {
         let Council { councillors, store, slots, lease_ms, drift_ppm } = it;
         text += &format!(
             "\n[council]\ncouncillors = {}\nslots = {slots}\nlease-ms = {lease_ms}\n\
@@ -112,7 +112,7 @@
         );
         text += &store.as_ref().map_or(String::new(), |it| format!("store = {}\n", it.display()));
     }
-    if let Some(it) = post.releases {
+    if let Some(it) = local.releases {
         let Releases { orders, version, next, play_out } = it;
         text += &format!(
             "\n[releases]\nversion = {version}\nnext = {}\nplay-out-ms = {}\n",
--- a/daemon/src/trial.rs
+++ b/daemon/src/trial.rs
@@ -4,5 +4,5 @@
 mod manager;
 mod settings;
 
-pub use manager::{Launch, Manager};
+pub use manager::{LaunchOptions, ManagerProcess};
 pub use settings::{ClassSettings, ManagerSettings};
--- a/daemon/src/trial/manager.rs
+++ b/daemon/src/trial/manager.rs
@@ -17,7 +17,7 @@
 
 /// How the managers of a trial are started.
 #[derive(Clone, Debug)]
-pub struct Launch {
+pub struct LaunchOptions {
     /// The program `ottersail`.
     pub program: PathBuf,
     /// Each manager has a folder of its own in it.
@@ -29,14 +29,14 @@
 }
 
 /// One session manager of a trial. Dropping it kills it.
-pub struct Manager {
+pub struct ManagerProcess {
     pub number: usize,
     pub address: SocketAddr,
-    launch: Launch,
+    launch: LaunchOptions,
     process: Process,
 }
 
-impl Launch {
+impl LaunchOptions {
     fn failed(&self, cause: io::Error) -> Trouble {
         Trouble::NotStarted { program: self.program.display().to_string(), cause }
     }
@@ -58,30 +58,30 @@
     }
 }
 
-impl Manager {
+impl ManagerProcess {
     /// Starts a manager that listens at the address; it is not ready yet.
     ///
     /// # Errors
     /// The system's, if files can't be written or the program not be started.
     pub fn start(
-        launch: &Launch,
+        launch: &LaunchOptions,
         number: usize,
         address: SocketAddr,
         config: &Value,
-    ) -> Result<Manager, Trouble> {
-        let launch = Launch { folder: launch.folder.join(format!("n{number}")), ..launch.clone() };
+    ) -> Result<ManagerProcess, Trouble> {
+        let launch = LaunchOptions { folder: launch.folder.join(format!("n{number}")), ..launch.clone() };
         let written = std::fs::create_dir_all(&launch.folder)
             .and_then(|()| std::fs::write(launch.folder.join(CONFIG), config.to_string()));
         written.map_err(|cause| launch.failed(cause))?;
         let process = launch.spawn()?;
-        Ok(Manager { number, address, launch, process })
+        Ok(ManagerProcess { number, address, launch, process })
     }
 
     /// A new process in place of the one before, which is killed if it still runs.
     ///
     /// # Errors
-    /// As of [`Manager::start`].
-    pub fn start_again(&mut self) -> Result<(), Trouble> {
+    /// As of [`ManagerProcess::start`].
+    pub fn restart(&mut self) -> Result<(), Trouble> {
         self.process.kill();
         self.process = self.launch.spawn()?;
         Ok(())
@@ -98,7 +98,7 @@
     }
 
     /// Whether it passes a test within that time.
-    pub fn is_ready_within(&mut self, limit: Duration) -> bool {
+    pub fn wait_ready(&mut self, limit: Duration) -> bool {
         let began = Instant::now();
         while began.elapsed() < limit && self.process.ended().is_none() {
             if passes_test(self.address) {
@@ -118,12 +118,12 @@
     }
 
     /// Whether it ended by itself within that time, and well.
-    pub fn ends_within(&mut self, limit: Duration) -> Option<bool> {
+    pub fn wait_exit(&mut self, limit: Duration) -> Option<bool> {
         self.process.wait(limit).map(|status| status.success())
     }
 
     /// How it ended, if it has: its exit code, `None` for a signal.
-    pub fn exit(&mut self) -> Option<Option<i32>> {
+    pub fn exit_code(&mut self) -> Option<Option<i32>> {
         self.process.ended().map(|status| status.code())
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// Descriptors that it holds now.
-    pub fn descriptors(&self) -> usize {
+    pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.process.id())).map_or(0, Iterator::count)
     }
 
--- a/daemon/src/worker/shared.rs
+++ b/daemon/src/worker/shared.rs
@@ -2,7 +2,7 @@
 
 use crate::metrics::Times;
 use crate::post::{Core, News};
-use crate::settings::manager::Manager;
+use crate::settings::manager::ManagerSettings;
 use arc_swap::ArcSwap;
 use async_channel::Sender;
 use ottersail_front::Ms;
@@ -38,8 +38,8 @@
     pub member: Option<MemberId>,
 }
 
-impl From<&Manager> for Reach {
-    fn from(it: &Manager) -> Reach {
+impl From<&ManagerSettings> for Reach {
+    fn from(it: &ManagerSettings) -> Reach {
         Reach {
             me: it.terms.me.0,
             list: it.links.list.clone(),
--- a/daemon/tests/errors.rs
+++ b/daemon/tests/errors.rs
@@ -1,9 +1,9 @@
 //! Each error of the program says where it is and what can be tried, in its own words and not only in those
 //! of its cause.
 
-use ottersail_daemon::error::{JudgeError, LineError, NodeError, ReplayError, RunError};
-use ottersail_daemon::rehearse::{RehearseError, Unclean};
-use ottersail_daemon::settings::error::{Complaint, SettingsError, Wrong};
+use ottersail_daemon::error::{ArgumentError, JudgeError, NodeError, ReplayError, RunError};
+use ottersail_daemon::rehearse::{RehearseError, UncleanExit};
+use ottersail_daemon::settings::error::{Problem, ProblemKind, SettingsError};
 use ottersail_membership::TermsError;
 use ottersail_rollout::{Fault, Held, Name, Serial};
 use std::io;
@@ -40,7 +40,7 @@
     "folder/the-file".into()
 }
 
-fn why() -> io::Error {
+fn cause() -> io::Error {
     io::Error::other(CAUSE)
 }
 
@@ -76,38 +76,39 @@
 const LINE: &str = "folder/the-file:7";
 
 fn settings() -> SettingsError {
-    let wrong = Wrong::NoHeading { text: text("[b") };
-    let complaint = Complaint { file: FILE.into(), line: Some(7), wrong };
-    SettingsError::Wrong { complaints: vec![complaint.clone(), complaint] }
+    let kind = ProblemKind::MalformedHeading { text: text("[b") };
+    let problem = Problem { file: FILE.into(), line: Some(7), kind };
+    SettingsError::Invalid { problems: vec![problem.clone(), problem] }
 }
 
 #[test]
 fn what_is_wrong_with_settings() {
     let (section, key, name) = (|| text("rules"), || text("cold-ms"), || text("rules"));
-    table!(Wrong:
-        SectionTwice { name: name(), before: 3 } => ["[rules]", "line 3"], false;
-        KeyTwice { key: key(), before: 3 } => ["cold-ms", "line 3"], false;
-        Stray { key: key() } => ["cold-ms"], false;
-        NoValue { text: key() } => ["cold-ms"], false;
-        NoHeading { text: text("[b") } => ["\"[b\""], false;
-        SectionMissing { name: name() } => ["[rules]"], false;
-        KeyMissing { section: section(), key: key(), what: name() } => ["[rules]", "cold-ms"], false;
-        UnknownSection { name: text("ruels"), near: Some(name()) } => ["[ruels]", "[rules]"], false;
-        UnknownKey { section: section(), key: text("xyz"), near: None } => ["[rules]", "xyz"], false;
-        Misread { section: section(), key: key(), what: name(), value: text("x") } => ["cold-ms", "x"], false;
-        Broken { section: section(), key: key(), rule: text("must be under 5") } => ["cold-ms"], false;
-        Whole { rule: text("no [package NAME]; write one") } => ["[package NAME]"], false;
+    table!(ProblemKind:
+        DuplicateSection { name: name(), first_line: 3 } => ["[rules]", "line 3"], false;
+        DuplicateKey { key: key(), first_line: 3 } => ["cold-ms", "line 3"], false;
+        KeyOutsideSection { key: key() } => ["cold-ms"], false;
+        MissingValue { text: key() } => ["cold-ms"], false;
+        MalformedHeading { text: text("[b") } => ["\"[b\""], false;
+        MissingSection { name: name() } => ["[rules]"], false;
+        MissingKey { section: section(), key: key(), expected: name() } => ["[rules]", "cold-ms"], false;
+        UnknownSection { name: text("ruels"), suggestion: Some(name()) } => ["[ruels]", "[rules]"], false;
+        UnknownKey { section: section(), key: text("xyz"), suggestion: None } => ["[rules]", "xyz"], false;
+        InvalidValue { section: section(), key: key(), expected: name(), value: text("x") } => ["cold-ms", "x"], false;
+        RuleViolation { section: section(), key: key(), message: text("must be under 5") } => ["cold-ms"], false;
+        General { message: text("no [package NAME]; write one") } => ["[package NAME]"], false;
     );
-    let stray = |key| Complaint { file: FILE.into(), line: Some(7), wrong: Wrong::Stray { key } };
+    let stray =
+        |key| Problem { file: FILE.into(), line: Some(7), kind: ProblemKind::KeyOutsideSection { key } };
     table!(SettingsError:
-        Unread { file: file(), why: why() } => [FILE], true;
-        Long { file: file(), most: 900 } => [FILE, "900"], false;
-        Wrong { complaints: vec![stray(key())] } => [LINE, "cold-ms"], false;
+        Unreadable { file: file(), cause: cause() } => [FILE], true;
+        TooLong { file: file(), max_bytes: 900 } => [FILE, "900"], false;
+        Invalid { problems: vec![stray(key())] } => [LINE, "cold-ms"], false;
     );
-    assert_eq!(settings().to_string().lines().count(), 2, "a line for each complaint");
+    assert_eq!(settings().to_string().lines().count(), 2, "a line for each problem");
     assert_eq!(Vec::from(settings()), settings().to_string().lines().collect::<Vec<_>>());
     assert_eq!(settings().join("|"), settings().to_string().replace('\n', "|"));
-    let whole = Complaint { file: FILE.into(), line: None, wrong: Wrong::SectionMissing { name: name() } };
+    let whole = Problem { file: FILE.into(), line: None, kind: ProblemKind::MissingSection { name: name() } };
     told(&whole, &["folder/the-file: [rules]"], false);
 }
 
@@ -140,66 +141,66 @@
 fn what_keeps_a_manager_from_starting() {
     let bad = || "x".parse::<SocketAddr>().unwrap_err();
     table!(RunError:
-        Keys { file: file(), why: text(CAUSE) } => [FILE, "[manager] keys"], true;
-        MemberKeys { file: file(), why: text(CAUSE) } => [FILE, "[members] keys"], true;
+        Keys { file: file(), cause: text(CAUSE) } => [FILE, "[manager] keys"], true;
+        MemberKeys { file: file(), cause: text(CAUSE) } => [FILE, "[members] keys"], true;
         Members { 0: TermsError::Name(text("a b")) } => ["[members]", "a b"], false;
-        Datagrams { address: at(), why: why() } => ["127.0.0.9:8123", "[members] listen"], true;
-        Record { file: file(), why: why() } => [FILE, "--record"], true;
-        ParentUnheard { why: why() } => ["--with-parent"], true;
-        ParentGone {} => ["--with-parent"], false;
-        Address { address: text("x"), why: bad() } => ["[manager] listen = x"], false;
-        Listen { address: at(), why: why() } => ["127.0.0.9:8123"], true;
-        Watch { address: at(), why: why() } => ["127.0.0.9:8123"], true;
-        Thread { name: text("core-3"), why: why() } => ["core-3"], true;
-        Signals { why: why() } => ["signals"], true;
-        Next { file: file(), why: why() } => [FILE, "[releases] next"], true;
+        Datagrams { address: at(), cause: cause() } => ["127.0.0.9:8123", "[members] listen"], true;
+        Record { file: file(), cause: cause() } => [FILE, "--record"], true;
+        ParentDeathSignal { cause: cause() } => ["--with-parent"], true;
+        ParentExited {} => ["--with-parent"], false;
+        Address { address: text("x"), cause: bad() } => ["[manager] listen = x"], false;
+        Listen { address: at(), cause: cause() } => ["127.0.0.9:8123"], true;
+        WatchListener { address: at(), cause: cause() } => ["127.0.0.9:8123"], true;
+        Thread { name: text("core-3"), cause: cause() } => ["core-3"], true;
+        Signals { cause: cause() } => ["signals"], true;
+        WriteNextVersion { file: file(), cause: cause() } => [FILE, "[releases] next"], true;
         Settings { 0: settings() } => [LINE], false;
     );
     table!(NodeError:
-        Unnamed {} => ["BALANCER_CONFIG"], false;
-        Unread { file: file(), why: why() } => [FILE], true;
-        Config { file: file(), why: text(CAUSE) } => [FILE], true;
-        Address { file: file(), why: bad() } => [FILE, "listen"], false;
-        Listen { address: at(), why: why() } => ["127.0.0.9:8123"], true;
-        Signals { why: why() } => ["signals"], true;
+        ConfigNotSet {} => ["BALANCER_CONFIG"], false;
+        Unreadable { file: file(), cause: cause() } => [FILE], true;
+        Config { file: file(), cause: text(CAUSE) } => [FILE], true;
+        Address { file: file(), cause: bad() } => [FILE, "listen"], false;
+        Listen { address: at(), cause: cause() } => ["127.0.0.9:8123"], true;
+        Signals { cause: cause() } => ["signals"], true;
     );
-    table!(LineError:
-        Log { read: text("loud"), why: text(CAUSE) } => ["--log", "loud"], true;
-        Pick { read: text("best"), words: vec!["random", "own"] } => ["--pick", "best", "random, own"], false;
-        Stall { read: text("1-2") } => ["--stall", "1-2", "CORE:MS"], false;
+    table!(ArgumentError:
+        Log { value: text("loud"), cause: text(CAUSE) } => ["--log", "loud"], true;
+        Pick { value: text("best"), choices: vec!["random", "own"] } => ["--pick", "best", "random, own"], false;
+        Stall { value: text("1-2") } => ["--stall", "1-2", "CORE:MS"], false;
     );
 }
 
 #[test]
 fn what_keeps_a_day_from_being_played_or_judged() {
     let status = || ExitStatus::from_raw(9);
-    table!(Unclean:
-        Ended { manager: 4, status: status() } => ["manager 4", "signal: 9"], false;
-        Stays { manager: 4, patience: Duration::from_secs(3) } => ["manager 4", "3s"], false;
-        NotAgain { manager: 4, why: text(CAUSE) } => ["manager 4"], true;
+    table!(UncleanExit:
+        Failed { manager: 4, status: status() } => ["manager 4", "signal: 9"], false;
+        TimedOut { manager: 4, timeout: Duration::from_secs(3) } => ["manager 4", "3s"], false;
+        RestartFailed { manager: 4, cause: text(CAUSE) } => ["manager 4"], true;
     );
     table!(JudgeError:
-        Unread { traffic: file(), why: text(CAUSE) } => [FILE, "--traffic"], true;
-        Report { folder: file(), why: text(CAUSE) } => [FILE, "--report"], true;
+        Unreadable { traffic: file(), cause: text(CAUSE) } => [FILE, "--traffic"], true;
+        Report { folder: file(), cause: text(CAUSE) } => [FILE, "--report"], true;
     );
-    let stays = |manager| Unclean::Stays { manager, patience: Duration::from_secs(3) };
+    let stays = |manager| UncleanExit::TimedOut { manager, timeout: Duration::from_secs(3) };
     table!(RehearseError:
         Settings { 0: settings() } => [LINE], false;
-        TooMany { day: file(), most: 400 } => [FILE, "400"], false;
-        Files { day: file(), needs: 900, allowed: 300 } => [FILE, "900", "300"], false;
-        FilesRefused { day: file(), needs: 900, why: why() } => [FILE, "900"], true;
-        Signals { why: why() } => ["signals"], true;
-        File { file: file(), why: why() } => [FILE], true;
-        Recorder { file: file(), why: text(CAUSE) } => [FILE, "--traffic"], true;
-        Keys { file: file(), why: text(CAUSE) } => [FILE], true;
-        Fleet { day: file(), why: text(CAUSE) } => [FILE], true;
-        Exchange { why: text(CAUSE) } => ["exchange between members"], true;
-        Address { manager: 4, why: why() } => ["manager 4", "127.0.0.0/8"], true;
-        Start { manager: 4, program: file(), why: text(CAUSE) } => ["manager 4", FILE, "--beside"], true;
-        NotReady { address: at(), patience: Duration::from_secs(3) } => ["127.0.0.9:8123", "3s"], false;
+        TooManyManagers { day: file(), max: 400 } => [FILE, "400"], false;
+        OpenFileLimit { day: file(), needs: 900, allowed: 300 } => [FILE, "900", "300"], false;
+        RaiseOpenFileLimit { day: file(), needs: 900, cause: cause() } => [FILE, "900"], true;
+        Signals { cause: cause() } => ["signals"], true;
+        File { file: file(), cause: cause() } => [FILE], true;
+        WriteTraffic { file: file(), cause: text(CAUSE) } => [FILE, "--traffic"], true;
+        Keys { file: file(), cause: text(CAUSE) } => [FILE], true;
+        StartServers { day: file(), cause: text(CAUSE) } => [FILE], true;
+        Exchange { cause: text(CAUSE) } => ["exchange between members"], true;
+        Address { manager: 4, cause: cause() } => ["manager 4", "127.0.0.0/8"], true;
+        Start { manager: 4, program: file(), cause: text(CAUSE) } => ["manager 4", FILE, "--beside"], true;
+        NotReady { address: at(), timeout: Duration::from_secs(3) } => ["127.0.0.9:8123", "3s"], false;
         Interrupted {} => ["the day"], false;
-        Unclean { which: vec![stays(4), stays(5)] } => ["manager 4", "manager 5"], false;
-        Judge { 0: JudgeError::Unread { traffic: file(), why: text(CAUSE) } } => [FILE], true;
+        UncleanExits { exits: vec![stays(4), stays(5)] } => ["manager 4", "manager 5"], false;
+        Judge { 0: JudgeError::Unreadable { traffic: file(), cause: text(CAUSE) } } => [FILE], true;
     );
 }
 
@@ -207,12 +208,12 @@
 fn what_is_wrong_with_a_record() {
     let no_json = || serde_json::from_str::<u8>("x").unwrap_err();
     table!(ReplayError:
-        Unread { file: file(), why: why() } => [FILE, "--record"], true;
-        Settings { file: file(), line: 7, why: settings() } => [LINE], false;
-        Keys { file: file(), line: 7, keys: "k9".into(), why: text(CAUSE) } => [LINE, "k9", "--keys"], true;
-        Line { file: file(), line: 7, why: no_json() } => [LINE], false;
-        Headless { file: file(), line: 7 } => [LINE], false;
-        Differs { file: file(), line: 7, now: text("up"), then: text("down") } => [LINE, "up", "down"], false;
-        Nothing { file: file() } => [FILE], false;
+        Unreadable { file: file(), cause: cause() } => [FILE, "--record"], true;
+        Settings { file: file(), line: 7, cause: settings() } => [LINE], false;
+        Keys { file: file(), line: 7, keys: "k9".into(), cause: text(CAUSE) } => [LINE, "k9", "--keys"], true;
+        InvalidLine { file: file(), line: 7, cause: no_json() } => [LINE], false;
+        MissingHeader { file: file(), line: 7 } => [LINE], false;
+        Mismatch { file: file(), line: 7, actual: text("up"), recorded: text("down") } => [LINE, "up", "down"], false;
+        Empty { file: file() } => [FILE], false;
     );
 }
--- a/daemon/tests/many_servers/scene.rs
+++ b/daemon/tests/many_servers/scene.rs
@@ -1,6 +1,6 @@
 //! One manager, many servers, clients, a command channel; judged from the sockets.
 
-use ottersail_daemon::trial::{ClassSettings, Launch, Manager, ManagerSettings};
+use ottersail_daemon::trial::{ClassSettings, LaunchOptions, ManagerProcess, ManagerSettings};
 use ottersail_fake_servers::callers::{CallerOrder, CallerSettings, Callers};
 use ottersail_fake_servers::commands::CommandChannel;
 use ottersail_fake_servers::media::{MediaFleet, MediaSettings};
@@ -25,7 +25,7 @@
     pub fleet: MediaFleet,
     _channel: CommandChannel,
     callers: Callers,
-    manager: Manager,
+    manager: ManagerProcess,
     events: Vec<ManagerEvent>,
     _folder: TempDir,
 }
@@ -66,16 +66,16 @@
         let channel = CommandChannel::start(&fleet.list()).unwrap();
         let address = fleet.manager_address();
         let (settings, folder) = (settings(scene), TempDir::new().unwrap());
-        let launch = Launch {
+        let launch = LaunchOptions {
             program: env!("CARGO_BIN_EXE_ottersail").into(),
             folder: folder.path().to_path_buf(),
             sockets: scene.sockets,
             log_filter: "info".to_string(),
         };
         let config = settings.file(0, address, channel.address, &channel.known());
-        let manager = Manager::start(&launch, 0, address, &config);
+        let manager = ManagerProcess::start(&launch, 0, address, &config);
         let mut manager = manager.unwrap();
-        assert!(manager.is_ready_within(Duration::from_secs(20)), "{}", manager.log());
+        assert!(manager.wait_ready(Duration::from_secs(20)), "{}", manager.log());
         let callers = Callers::start(CallerSettings {
             seed: 3,
             classes: vec!["clips".to_string()],
@@ -119,7 +119,7 @@
         self.callers.tell(CallerOrder::Stop { manager: 0 });
         self.manager.signal(Signal::TERM);
         self.events.push(ManagerEvent::Terminated { at: Instant::now(), manager: 0 });
-        self.manager.ends_within(PATIENCE + Duration::from_millis(700));
+        self.manager.wait_exit(PATIENCE + Duration::from_millis(700));
         self.manager.kill();
         self.events.push(ManagerEvent::Killed { at: Instant::now(), manager: 0 });
     }
--- a/daemon/tests/soak/later.rs
+++ b/daemon/tests/soak/later.rs
@@ -86,9 +86,9 @@
         let channel = &self.channels[manager];
         let config = self.settings.file(manager, address, channel.address, &channel.known());
         self.managers[manager].write_config(&config).unwrap();
-        self.managers[manager].start_again().unwrap();
+        self.managers[manager].restart().unwrap();
         self.busy[manager] = false;
-        if self.managers[manager].is_ready_within(Duration::from_secs(5)) {
+        if self.managers[manager].wait_ready(Duration::from_secs(5)) {
             let per_second = self.rates[manager];
             self.callers.tell(CallerOrder::Load { manager, address, per_second });
         } else {
--- a/daemon/tests/soak/trial.rs
+++ b/daemon/tests/soak/trial.rs
@@ -3,7 +3,7 @@
 use crate::later::Later;
 use crate::settings::settings;
 use fastrand::Rng;
-use ottersail_daemon::trial::{Launch, Manager, ManagerSettings};
+use ottersail_daemon::trial::{LaunchOptions, ManagerProcess, ManagerSettings};
 use ottersail_fake_servers::callers::{CallerOrder, CallerSettings, Callers};
 use ottersail_fake_servers::commands::CommandChannel;
 use ottersail_fake_servers::media::{MediaFleet, MediaSettings};
@@ -27,7 +27,7 @@
     pub fleets: Vec<MediaFleet>,
     pub channels: Vec<CommandChannel>,
     pub callers: Callers,
-    pub managers: Vec<Manager>,
+    pub managers: Vec<ManagerProcess>,
     pub rates: Vec<f64>,
     pub busy: Vec<bool>,
     pub hit: Vec<bool>,
@@ -73,7 +73,7 @@
             fleets.iter().map(|fleet| CommandChannel::start(&fleet.list()).unwrap()).collect();
         let settings = settings(&mut random);
         let folder = TempDir::new().unwrap();
-        let launch = Launch {
+        let launch = LaunchOptions {
             program: env!("CARGO_BIN_EXE_ottersail").into(),
             folder: folder.path().to_path_buf(),
             sockets: settings.sockets,
@@ -83,9 +83,9 @@
         for (number, channel) in channels.iter().enumerate() {
             let address = fleets[number].manager_address();
             let config = settings.file(number, address, channel.address, &channel.known());
-            managers.push(Manager::start(&launch, number, address, &config).unwrap());
+            managers.push(ManagerProcess::start(&launch, number, address, &config).unwrap());
         }
-        assert!(managers.iter_mut().all(|manager| manager.is_ready_within(Duration::from_secs(10))));
+        assert!(managers.iter_mut().all(|manager| manager.wait_ready(Duration::from_secs(10))));
         let callers = Callers::start(CallerSettings {
             seed,
             classes: settings.classes.iter().map(|class| class.name.clone()).collect(),
--- a/simulation/src/experiment.rs
+++ b/simulation/src/experiment.rs
@@ -6,8 +6,8 @@
 use crate::figures::Figures;
 use crate::model::Model;
 use crate::parts::By;
-use ottersail_daemon::settings::day::read_day;
-use ottersail_daemon::settings::sheet::Sheet;
+use ottersail_daemon::settings::day::parse_day;
+use ottersail_daemon::settings::ini_file::IniFile;
 use ottersail_front::baseline::{Baseline, Pick};
 use ottersail_front::Placement;
 use serde::{Deserialize, Serialize};
@@ -65,14 +65,14 @@
         let file = path.display().to_string();
         let text =
             fs::read_to_string(path).map_err(|source| LabError::Unread { path: path.into(), source })?;
-        let sheet = Sheet::read(&file, &text);
-        let head = sheet.section("experiment");
+        let ini = IniFile::read(&file, &text);
+        let head = ini.section("experiment");
         let folder = path.parent().unwrap_or(Path::new("."));
         let mut days = Vec::new();
         for name in head.text("days").split(',').map(str::trim).filter(|it| !it.is_empty()) {
             match fs::read_to_string(folder.join(name)) {
                 Ok(text) => days.push((name.to_string(), text)),
-                Err(trouble) => head.complain("days", format!("{name}: {trouble}")),
+                Err(trouble) => head.add_problem("days", format!("{name}: {trouble}")),
             }
         }
         let seeds = (1..=head.whole("seeds", 1..=1000)).collect();
@@ -82,7 +82,7 @@
             ("lowest-rung", Pick::LowestRung),
         ];
         let mut variants = Vec::new();
-        for (name, section) in sheet.sections("variant") {
+        for (name, section) in ini.sections("variant") {
             let mut it = Variant {
                 name: name.to_string(),
                 pick: None,
@@ -96,7 +96,9 @@
                     None if key == "policy" => match policies.iter().find(|it| it.0 == value) {
                         Some(pick) => it.pick = Some(pick.1),
                         None if value == "module" => {}
-                        None => section.complain(key, "expected module, random, least-loaded or lowest-rung"),
+                        None => {
+                            section.add_problem(key, "expected module, random, least-loaded or lowest-rung")
+                        }
                     },
                     None if key == "parts" => match value.split_once(char::is_whitespace) {
                         Some((by, lease)) => {
@@ -106,31 +108,33 @@
                                 lease.trim().parse().ok().filter(|it| (1_000.0..=60_000.0).contains(it));
                             match (by, lease) {
                                 (Some((_, by)), Some(lease)) => it.leased = Some((by, lease)),
-                                _ => section.complain(key, PARTS),
+                                _ => section.add_problem(key, PARTS),
                             }
                         }
                         None if value == "number" => {}
-                        None => section.complain(key, PARTS),
+                        None => section.add_problem(key, PARTS),
                     },
                     None if key == "without" => {
                         it.without = value.split(',').map(|it| format!("fault {}", it.trim())).collect();
                     }
-                    None => section.complain(key, "expected policy, parts, without, or section.key = value"),
+                    None => {
+                        section.add_problem(key, "expected policy, parts, without, or section.key = value")
+                    }
                 }
             }
             variants.push(it);
         }
         if variants.is_empty() {
-            sheet.complain(0, "no [variant NAME] to play".into());
+            ini.add_problem(0, "no [variant NAME] to play".into());
         }
         let experiment = Experiment { days, seeds, variants };
-        let mut complaints = sheet.complaints();
+        let mut complaints = ini.problems();
         for (day, text) in &experiment.days {
             for variant in &experiment.variants {
                 match variant.apply(text) {
                     Ok(text) => {
                         let told =
-                            read_day(Path::new(day), &text).map_err(Vec::from).err().into_iter().flatten();
+                            parse_day(Path::new(day), &text).map_err(Vec::from).err().into_iter().flatten();
                         complaints.extend(told.map(|it| format!("{file}: variant {}: {it}", variant.name)));
                     }
                     Err(lacks) => complaints.push(format!("{file}: {day}: {lacks}")),
@@ -187,7 +191,7 @@
 
     pub(crate) fn play(&self, day: &str, text: &str, seed: u64) -> Result<Outcome, LabError> {
         let text = self.apply(text)?;
-        let plan = read_day(Path::new(day), &text)
+        let plan = parse_day(Path::new(day), &text)
             .map_err(|complaints| LabError::Unfit { path: day.into(), complaints: complaints.into() })?;
         let pick = self.pick;
         let model = Model::with(&plan, seed, move |now, seed, terms, out| match pick {
--- a/simulation/src/main.rs
+++ b/simulation/src/main.rs
@@ -1,7 +1,7 @@
 //! `ottersail-simulation`: plays days in simulated time.
 
 use clap::{Parser, Subcommand};
-use ottersail_daemon::settings::day::read_day;
+use ottersail_daemon::settings::day::parse_day;
 use ottersail_simulation::compare::compare;
 use ottersail_simulation::errors::LabError;
 use ottersail_simulation::experiment::Experiment;
@@ -79,7 +79,7 @@
 fn play(day: &Path, seed: Option<u64>) -> Done {
     let text =
         std::fs::read_to_string(day).map_err(|source| LabError::Unread { path: day.into(), source })?;
-    let plan = read_day(day, &text)
+    let plan = parse_day(day, &text)
         .map_err(|complaints| LabError::Unfit { path: day.into(), complaints: complaints.into() })?;
     let model = Model::new(&plan, seed.unwrap_or(plan.day.seed))
         .map_err(|source| LabError::Model { day: day.display().to_string(), source })?;
--- a/simulation/src/model.rs
+++ b/simulation/src/model.rs
@@ -22,7 +22,7 @@
 use crate::wheel::Wheel;
 use event::Event;
 use kept::{Kept, Post, Viewer};
-use ottersail_daemon::settings::day::Plan;
+use ottersail_daemon::settings::day::DayPlan;
 use ottersail_fake_servers::{Fault, FaultKind};
 use ottersail_front::decisions::Decisions;
 use ottersail_front::tape::Told;
@@ -44,7 +44,7 @@
 
 pub struct Model {
     decide: Decide,
-    plan: Plan,
+    plan: DayPlan,
     now: f64,
     end: f64,
     rng: fastrand::Rng,
@@ -79,7 +79,7 @@
 impl Model {
     /// # Errors
     /// If a fault is one that has no meaning without sockets.
-    pub fn new(plan: &Plan, seed: u64) -> Result<Model, ModelError> {
+    pub fn new(plan: &DayPlan, seed: u64) -> Result<Model, ModelError> {
         Model::with(plan, seed, |now, seed, terms, out| Box::new(Placement::born(now, seed, terms, out)))
     }
 
@@ -88,7 +88,7 @@
     /// # Errors
     /// As [`Model::new`].
     pub fn with(
-        plan: &Plan,
+        plan: &DayPlan,
         seed: u64,
         decide: impl Fn(Ms, u64, Terms, &mut dyn Answers) -> Box<dyn Decisions> + 'static,
     ) -> Result<Model, ModelError> {
--- a/simulation/src/model/managers.rs
+++ b/simulation/src/model/managers.rs
@@ -22,7 +22,7 @@
             ticket_s: 600,
             most_waiting: 100_000,
             most_watches: 1_000_000,
-            send_within: Ms(self.plan.grace.0 * 0.25),
+            send_within: Ms(self.plan.drain_grace.0 * 0.25),
             linger: Ms(1000.0),
         };
         let mut wishes = Wishes::default();
--- a/simulation/tests/days.rs
+++ b/simulation/tests/days.rs
@@ -1,17 +1,17 @@
 //! Days played whole: that they repeat, that the laws hold, and what faults do.
 
-use ottersail_daemon::settings::day::{read_day, Plan};
+use ottersail_daemon::settings::day::{parse_day, DayPlan};
 use ottersail_simulation::figures::Figures;
 use ottersail_simulation::model::Model;
 use std::path::Path;
 use test_case::test_case;
 
-fn day(faults: &str) -> Plan {
+fn day(faults: &str) -> DayPlan {
     let text = include_str!("small.day.ini").to_string() + faults;
-    read_day(Path::new("small.day.ini"), &text).unwrap_or_else(|it| panic!("{}", it.join("\n")))
+    parse_day(Path::new("small.day.ini"), &text).unwrap_or_else(|it| panic!("{}", it.join("\n")))
 }
 
-fn play(plan: &Plan, seed: u64) -> Figures {
+fn play(plan: &DayPlan, seed: u64) -> Figures {
     let (figures, _, drift) = Model::new(plan, seed).unwrap().run();
     assert_eq!(figures.broken_laws(drift), Vec::<String>::new());
     figures
