--- a/consensus/src/acceptor.rs
+++ b/consensus/src/acceptor.rs
@@ -6,11 +6,11 @@
 use ottersail::time::Ms;
 use ottersail_membership::MemberId;
 
-use crate::message::{Message, Voice};
-use crate::types::{Ballot, Key, Memory, Record, Register, Stored, Value};
 #[cfg(any(test, feature = "sabotage"))]
-use crate::wishes::Guards;
-use crate::wishes::{Guard, Token, Wishes};
+use crate::effects::Guards;
+use crate::effects::{Effects, Guard, Token};
+use crate::message::{GenerationView, Message};
+use crate::types::{Ballot, Key, Record, Register, StoreGeneration, StoredState, Value};
 
 /// Replies that wait for the disk at most; past that a message counts as lost, as on a full network.
 const WAIT_MOST: usize = 256;
@@ -21,7 +21,7 @@
 pub struct Acceptor {
     me: MemberId,
     /// As it is once all wishes are kept.
-    stored: Stored,
+    stored: StoredState,
     tokens: u64,
     waiting: BTreeMap<Token, Vec<(MemberId, Message)>>,
     #[cfg(any(test, feature = "sabotage"))]
@@ -29,7 +29,7 @@
 }
 
 impl Acceptor {
-    pub fn new(me: MemberId, stored: Stored) -> Acceptor {
+    pub fn new(me: MemberId, stored: StoredState) -> Acceptor {
         Acceptor {
             me,
             stored,
@@ -40,39 +40,39 @@
         }
     }
 
-    pub fn stored(&self) -> &Stored {
+    pub fn stored(&self) -> &StoredState {
         &self.stored
     }
 
     /// Whether it takes part: its memory reaches back to the founding or has been recovered since.
-    pub fn sound(&self) -> bool {
+    pub fn participates(&self) -> bool {
         #[cfg(any(test, feature = "sabotage"))]
-        if !self.guards.abstain {
+        if !self.guards.abstain_until_recovered {
             return true;
         }
-        self.stored.sound
+        self.stored.participating
     }
 
-    pub fn voice(&self) -> Voice {
-        Voice { memory: self.stored.memory, known: self.stored.known.clone() }
+    pub fn view(&self) -> GenerationView {
+        GenerationView { generation: self.stored.generation, known: self.stored.known.clone() }
     }
 
     /// The disk has that; the replies that waited for it go out.
-    pub fn kept(&mut self, token: Token, out: &mut dyn Wishes) {
+    pub fn on_persisted(&mut self, token: Token, out: &mut dyn Effects) {
         for (to, message) in self.waiting.remove(&token).unwrap_or_default() {
             out.send(to, &message);
         }
     }
 
-    pub fn message(
+    pub fn on_message(
         &mut self,
         now: Ms,
         from: MemberId,
         message: &Message,
         guard: &dyn Guard,
-        out: &mut dyn Wishes,
+        out: &mut dyn Effects,
     ) {
-        if !self.sound() || self.waiting.len() >= WAIT_MOST {
+        if !self.participates() || self.waiting.len() >= WAIT_MOST {
             return;
         }
         match message {
@@ -80,20 +80,20 @@
             Message::Accept { key, ballot, value } => {
                 self.accept(now, from, (*key, *ballot, value), guard, out);
             }
-            Message::Recover { memory, after, .. } => self.recover(from, *memory, *after, out),
+            Message::Recover { generation, after, .. } => self.recover(from, *generation, *after, out),
             _ => {}
         }
     }
 
-    fn prepare(&mut self, from: MemberId, key: Key, ballot: Ballot, out: &mut dyn Wishes) {
+    fn prepare(&mut self, from: MemberId, key: Key, ballot: Ballot, out: &mut dyn Effects) {
         let register = self.stored.registers.get(&key).cloned().unwrap_or_default();
         if ballot < register.promised && self.holds_to_promises() {
             return out.send(from, &Message::Refused { key, ballot, promised: register.promised });
         }
         let accepted = register.accepted.clone();
         let register = Register { promised: ballot, ..register };
-        let reply = Message::Promise { key, ballot, accepted, voice: self.voice() };
-        self.keep(vec![Record::Register(key, register)], Some((from, reply)), out);
+        let reply = Message::Promise { key, ballot, accepted, view: self.view() };
+        self.persist(vec![Record::Register(key, register)], Some((from, reply)), out);
     }
 
     fn accept(
@@ -102,7 +102,7 @@
         from: MemberId,
         (key, ballot, value): (Key, Ballot, &Value),
         guard: &dyn Guard,
-        out: &mut dyn Wishes,
+        out: &mut dyn Effects,
     ) {
         let register = self.stored.registers.get(&key).cloned().unwrap_or_default();
         if ballot < register.promised && self.holds_to_promises() {
@@ -112,23 +112,31 @@
             return out.send(from, &Message::Refused { key, ballot, promised: ballot });
         }
         let register = Register { promised: ballot, accepted: Some((ballot, value.clone())) };
-        let reply = Message::Accepted { key, ballot, voice: self.voice() };
-        self.keep(vec![Record::Register(key, register)], Some((from, reply)), out);
+        let reply = Message::Accepted { key, ballot, view: self.view() };
+        self.persist(vec![Record::Register(key, register)], Some((from, reply)), out);
     }
 
     /// Another has lost its memory: what it promised from the lost one counts no more, here from now on.
-    fn recover(&mut self, from: MemberId, memory: Memory, after: Option<Key>, out: &mut dyn Wishes) {
-        if let Some(&known) = self.stored.known.get(&from).filter(|known| **known > memory) {
+    fn recover(
+        &mut self,
+        from: MemberId,
+        generation: StoreGeneration,
+        after: Option<Key>,
+        out: &mut dyn Effects,
+    ) {
+        if let Some(&known) = self.stored.known.get(&from).filter(|known| **known > generation) {
             return out.send(from, &Message::Outdated { known });
         }
-        if let Some(roll) = self.stored.roll.clone().filter(|roll| roll.get(&from) == Some(&memory)) {
-            return out.send(from, &Message::Founded { roll });
+        if let Some(founders) =
+            self.stored.founders.clone().filter(|founders| founders.get(&from) == Some(&generation))
+        {
+            return out.send(from, &Message::Founded { founders });
         }
         let (page, more) = self.page(after);
-        let mut voice = self.voice();
-        voice.known.insert(from, memory);
-        let reply = Message::Recovered { memory, after, page, more, voice };
-        self.keep(vec![Record::Known(from, memory)], Some((from, reply)), out);
+        let mut view = self.view();
+        view.known.insert(from, generation);
+        let reply = Message::Recovered { generation, after, page, more, view };
+        self.persist(vec![Record::PeerGeneration(from, generation)], Some((from, reply)), out);
     }
 
     fn page(&self, after: Option<Key>) -> (Vec<(Key, Register)>, bool) {
@@ -145,43 +153,43 @@
     }
 
     /// Takes these in and wishes them kept; the reply goes out once they are.
-    pub fn keep(
+    pub fn persist(
         &mut self,
         records: Vec<Record>,
         reply: Option<(MemberId, Message)>,
-        out: &mut dyn Wishes,
+        out: &mut dyn Effects,
     ) -> Token {
         for record in &records {
-            self.stored.take(record);
+            self.stored.apply(record);
         }
         self.tokens += 1;
         let token = Token(self.tokens);
         #[cfg(any(test, feature = "sabotage"))]
-        if !self.guards.kept_first {
+        if !self.guards.persist_before_reply {
             if let Some((to, message)) = &reply {
                 out.send(*to, message);
             }
-            out.keep(token, &records);
+            out.persist(token, &records);
             return token;
         }
         self.waiting.insert(token, reply.into_iter().collect());
-        out.keep(token, &records);
+        out.persist(token, &records);
         token
     }
 
     fn holds_to_promises(&self) -> bool {
         #[cfg(any(test, feature = "sabotage"))]
-        return self.guards.promise;
+        return self.guards.keep_promises;
         #[cfg(not(any(test, feature = "sabotage")))]
         true
     }
 
     /// Others know a later number, of a recovery that was cut off. What is held here is whole, so it may stand
     /// under a greater one; what was said under the lesser is merely not counted.
-    pub fn outdated(&mut self, known: Memory, out: &mut dyn Wishes) {
-        let mine = self.stored.memory;
+    pub fn outdated(&mut self, known: StoreGeneration, out: &mut dyn Effects) {
+        let mine = self.stored.generation;
         if known > mine {
-            self.keep(vec![Record::Mine(mine.above(known))], None, out);
+            self.persist(vec![Record::OwnGeneration(mine.above(known))], None, out);
         }
     }
 
--- a/consensus/src/message.rs
+++ b/consensus/src/message.rs
@@ -2,13 +2,15 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::types::{Ballot, Change, Key, Memories, Memory, Outcome, Register, RequestId, Value};
+use crate::types::{
+    Ballot, Change, Key, Outcome, Register, RequestId, StoreGeneration, StoreGenerations, Value,
+};
 
 /// The memory an acceptor speaks from, and those it knows of the others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Voice {
-    pub memory: Memory,
-    pub known: Memories,
+pub struct GenerationView {
+    pub generation: StoreGeneration,
+    pub known: StoreGenerations,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -21,7 +23,7 @@
         key: Key,
         ballot: Ballot,
         accepted: Option<(Ballot, Value)>,
-        voice: Voice,
+        view: GenerationView,
     },
     Accept {
         key: Key,
@@ -31,7 +33,7 @@
     Accepted {
         key: Key,
         ballot: Ballot,
-        voice: Voice,
+        view: GenerationView,
     },
     /// That round can't go on here; `promised` is what stands in its way (its own ballot: a guard does).
     Refused {
@@ -56,31 +58,31 @@
     },
     /// I stand on this memory and don't take part yet; what have you from that key on?
     Recover {
-        memory: Memory,
-        roll: Option<Memories>,
+        generation: StoreGeneration,
+        founders: Option<StoreGenerations>,
         after: Option<Key>,
     },
     /// To one that recovers with `memory`: what I hold after the key it named, and where it goes on.
     Recovered {
-        memory: Memory,
+        generation: StoreGeneration,
         after: Option<Key>,
         page: Vec<(Key, Register)>,
         more: bool,
-        voice: Voice,
+        view: GenerationView,
     },
     /// You were there at the founding and have promised nothing since.
     Founded {
-        roll: Memories,
+        founders: StoreGenerations,
     },
     /// I know a later memory of yours than the one you speak of.
     Outdated {
-        known: Memory,
+        known: StoreGeneration,
     },
     /// What is newer with you than this, in the keys after the first up to the second?
     Fetch {
         after: Option<Key>,
-        upto: Option<Key>,
-        have: Vec<(Key, u64)>,
+        up_to: Option<Key>,
+        known_revisions: Vec<(Key, u64)>,
     },
     /// These are newer; go on after that key if there are more.
     Found {
--- a/consensus/src/proposer.rs
+++ b/consensus/src/proposer.rs
@@ -5,13 +5,13 @@
 use ottersail::time::Ms;
 use ottersail_membership::MemberId;
 
-use crate::message::{Message, Voice};
+#[cfg(any(test, feature = "sabotage"))]
+use crate::effects::Guards;
+use crate::effects::{CouncilConfig, Effects};
+use crate::message::{GenerationView, Message};
 pub use crate::round::Job;
 use crate::round::{self, Next, Phase, Promised, Round, Rules};
 use crate::types::{Ballot, Change, Key, Outcome, Value, BODY_MOST};
-#[cfg(any(test, feature = "sabotage"))]
-use crate::wishes::Guards;
-use crate::wishes::{Terms, Wishes};
 use ottersail_membership::chance::Chance;
 
 /// Requests that wait for one key at most.
@@ -21,7 +21,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Proposer {
-    terms: Terms,
+    config: CouncilConfig,
     chance: Chance,
     /// The greatest ballot number seen anywhere.
     highest: u64,
@@ -32,10 +32,10 @@
 }
 
 impl Proposer {
-    pub fn new(terms: Terms) -> Proposer {
+    pub fn new(config: CouncilConfig) -> Proposer {
         Proposer {
-            chance: Chance::new(terms.seed),
-            terms,
+            chance: Chance::new(config.seed),
+            config,
             highest: 0,
             rounds: BTreeMap::new(),
             queues: BTreeMap::new(),
@@ -48,13 +48,13 @@
         !self.rounds.is_empty()
     }
 
-    pub fn bell_at(&self) -> Ms {
+    pub fn next_timer(&self) -> Ms {
         self.rounds.values().map(|round| round.bell).min().unwrap_or(Ms(f64::INFINITY))
     }
 
-    pub fn propose(&mut self, now: Ms, key: Key, job: Job, out: &mut dyn Wishes) {
+    pub fn propose(&mut self, now: Ms, key: Key, job: Job, out: &mut dyn Effects) {
         if matches!(&job.change, Change::Set { body, .. } if body.len() > BODY_MOST) {
-            return tell(&job, Outcome::Turned, out);
+            return tell(&job, Outcome::Rejected, out);
         }
         if let Some(round) = self.rounds.get_mut(&key) {
             if round.job.request == job.request {
@@ -66,29 +66,29 @@
                 return;
             }
             if queue.len() >= QUEUE_MOST {
-                return tell(&job, Outcome::Turned, out);
+                return tell(&job, Outcome::Rejected, out);
             }
             return queue.push_back(job);
         }
         self.start(now, key, job, 0, out);
     }
 
-    fn start(&mut self, now: Ms, key: Key, job: Job, tries: u32, out: &mut dyn Wishes) {
+    fn start(&mut self, now: Ms, key: Key, job: Job, tries: u32, out: &mut dyn Effects) {
         self.highest += 1;
-        let ballot = Ballot { number: self.highest, proposer: self.terms.me, life: self.terms.life };
+        let ballot = Ballot { number: self.highest, proposer: self.config.me, life: self.config.life };
         let (refused, phase) = (BTreeSet::new(), Phase::Preparing(BTreeMap::new()));
-        let bell = now + self.terms.phase;
+        let bell = now + self.config.phase_timeout;
         self.rounds.insert(key, Round { job, ballot, tries, refused, bell, phase });
         self.all(&Message::Prepare { key, ballot }, out);
     }
 
-    fn all(&self, message: &Message, out: &mut dyn Wishes) {
-        for member in &self.terms.councillors {
+    fn all(&self, message: &Message, out: &mut dyn Effects) {
+        for member in &self.config.councillors {
             out.send(*member, message);
         }
     }
 
-    pub fn bell(&mut self, now: Ms, out: &mut dyn Wishes) {
+    pub fn on_timer(&mut self, now: Ms, out: &mut dyn Effects) {
         let due: Vec<Key> = self.rounds.iter().filter(|(_, r)| r.bell <= now).map(|(key, _)| *key).collect();
         for key in due {
             let Some(round) = self.rounds.remove(&key) else { continue };
@@ -108,14 +108,14 @@
     fn back_off(&mut self, now: Ms, key: Key) {
         let part = self.chance.part();
         let Some(round) = self.rounds.get_mut(&key) else { return };
-        let most = self.terms.back_off * f64::from(1 << round.tries.min(DOUBLINGS));
+        let most = self.config.first_back_off * f64::from(1 << round.tries.min(DOUBLINGS));
         round.tries += 1;
         round.phase = Phase::Waiting;
         round.bell = now + most * part;
     }
 
     /// The next that waits for that key, if any still does.
-    fn following(&mut self, now: Ms, key: Key, out: &mut dyn Wishes) {
+    fn following(&mut self, now: Ms, key: Key, out: &mut dyn Effects) {
         while let Some(job) = self.queues.get_mut(&key).and_then(VecDeque::pop_front) {
             if job.until > now {
                 return self.start(now, key, job, 0, out);
@@ -125,12 +125,12 @@
         self.queues.remove(&key);
     }
 
-    pub fn message(&mut self, now: Ms, from: MemberId, message: &Message, out: &mut dyn Wishes) {
+    pub fn on_message(&mut self, now: Ms, from: MemberId, message: &Message, out: &mut dyn Effects) {
         match message {
-            Message::Promise { key, ballot, accepted, voice } => {
-                self.promise(now, (from, *key, *ballot), accepted, voice, out);
+            Message::Promise { key, ballot, accepted, view } => {
+                self.promise(now, (from, *key, *ballot), accepted, view, out);
             }
-            Message::Accepted { key, ballot, voice } => self.accepted(now, (from, *key, *ballot), voice, out),
+            Message::Accepted { key, ballot, view } => self.accepted(now, (from, *key, *ballot), view, out),
             Message::Refused { key, ballot, promised } => self.refused(now, (from, *key, *ballot), *promised),
             _ => {}
         }
@@ -145,22 +145,22 @@
         now: Ms,
         (from, key, ballot): (MemberId, Key, Ballot),
         accepted: &Option<(Ballot, Value)>,
-        voice: &Voice,
-        out: &mut dyn Wishes,
+        view: &GenerationView,
+        out: &mut dyn Effects,
     ) {
-        let (rules, majority, wait) = (self.rules(), self.terms.majority(), self.terms.phase);
+        let (rules, majority, wait) = (self.rules(), self.config.majority(), self.config.phase_timeout);
         let Some(round) = self.round(key, ballot) else { return };
         let Phase::Preparing(promises) = &mut round.phase else { return };
         let held = promises
             .entry(from)
-            .or_insert_with(|| Promised { voice: voice.clone(), accepted: accepted.clone() });
-        crate::quorum::hear(&mut held.voice, voice);
+            .or_insert_with(|| Promised { view: view.clone(), accepted: accepted.clone() });
+        crate::quorum::hear(&mut held.view, view);
         held.accepted = held.accepted.take().max(accepted.clone());
-        let voices = promises.iter().map(|(member, promised)| (*member, &promised.voice));
+        let voices = promises.iter().map(|(member, promised)| (*member, &promised.view));
         for (member, known) in crate::quorum::outdated(voices) {
             out.send(member, &Message::Outdated { known });
         }
-        if rules.count(promises.iter().map(|(member, promised)| (*member, &promised.voice))) < majority {
+        if rules.count(promises.iter().map(|(member, promised)| (*member, &promised.view))) < majority {
             return;
         }
         match round::next(&round.job, promises, majority, rules) {
@@ -178,25 +178,25 @@
         &mut self,
         now: Ms,
         (from, key, ballot): (MemberId, Key, Ballot),
-        voice: &Voice,
-        out: &mut dyn Wishes,
+        view: &GenerationView,
+        out: &mut dyn Effects,
     ) {
-        let (rules, majority) = (self.rules(), self.terms.majority());
+        let (rules, majority) = (self.rules(), self.config.majority());
         let Some(round) = self.round(key, ballot) else { return };
         let Phase::Accepting { value, voices, done } = &mut round.phase else { return };
-        crate::quorum::hear(voices.entry(from).or_insert_with(|| voice.clone()), voice);
-        if rules.count(voices.iter().map(|(member, voice)| (*member, voice))) < majority {
+        crate::quorum::hear(voices.entry(from).or_insert_with(|| view.clone()), view);
+        if rules.count(voices.iter().map(|(member, view)| (*member, view))) < majority {
             return;
         }
         let (value, done) = (value.clone(), *done);
-        let outcome = if done { Outcome::Done(value) } else { Outcome::Now(Some(value)) };
+        let outcome = if done { Outcome::Chosen(value) } else { Outcome::Current(Some(value)) };
         self.end(now, key, outcome, out);
     }
 
     /// One refusal stops nothing while a majority can still agree.
     fn refused(&mut self, now: Ms, (from, key, ballot): (MemberId, Key, Ballot), promised: Ballot) {
         self.highest = self.highest.max(promised.number);
-        let spare = self.terms.councillors.len() - self.terms.majority();
+        let spare = self.config.councillors.len() - self.config.majority();
         let Some(round) = self.round(key, ballot) else { return };
         round.refused.insert(from);
         if round.refused.len() > spare && round.phase != Phase::Waiting {
@@ -204,9 +204,9 @@
         }
     }
 
-    fn end(&mut self, now: Ms, key: Key, outcome: Outcome, out: &mut dyn Wishes) {
+    fn end(&mut self, now: Ms, key: Key, outcome: Outcome, out: &mut dyn Effects) {
         let Some(round) = self.rounds.remove(&key) else { return };
-        if let Outcome::Done(value) | Outcome::Now(Some(value)) = &outcome {
+        if let Outcome::Chosen(value) | Outcome::Current(Some(value)) = &outcome {
             self.all(&Message::Learned { key, value: value.clone() }, out);
         }
         tell(&round.job, outcome, out);
@@ -216,16 +216,16 @@
     fn rules(&self) -> Rules {
         #[cfg(any(test, feature = "sabotage"))]
         return Rules {
-            highest: self.guards.highest,
-            memories: self.guards.memories,
+            highest: self.guards.adopt_highest,
+            memories: self.guards.discard_lost_generations,
             write_back: self.guards.write_back,
-            once: self.guards.once,
+            once: self.guards.deduplicate_requests,
         };
         #[cfg(not(any(test, feature = "sabotage")))]
         Rules { highest: true, memories: true, write_back: true, once: true }
     }
 }
 
-fn tell(job: &Job, outcome: Outcome, out: &mut dyn Wishes) {
+fn tell(job: &Job, outcome: Outcome, out: &mut dyn Effects) {
     out.send(job.reply, &Message::Answer { request: job.request, outcome });
 }
--- a/consensus/src/asker.rs
+++ b/consensus/src/requester.rs
@@ -5,9 +5,9 @@
 use ottersail::time::Ms;
 use ottersail_membership::MemberId;
 
+use crate::effects::{CouncilConfig, Effects};
 use crate::message::Message;
 use crate::types::{Change, Key, Outcome, RequestId, BODY_MOST};
-use crate::wishes::{Terms, Wishes};
 
 /// Own requests that wait at most.
 const PENDING_MOST: usize = 64;
@@ -23,30 +23,30 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Asker {
+pub struct Requester {
     living: BTreeSet<MemberId>,
     pending: BTreeMap<u64, Pending>,
 }
 
-impl Asker {
-    pub fn living(&mut self, living: &BTreeSet<MemberId>) {
+impl Requester {
+    pub fn set_living(&mut self, living: &BTreeSet<MemberId>) {
         self.living.clone_from(living);
     }
 
     /// The councillor that all ask first: the lowest living one, so that duels are rare.
-    pub fn preferred(&self, terms: &Terms) -> Option<MemberId> {
-        self.order(terms).first().copied()
+    pub fn preferred(&self, config: &CouncilConfig) -> Option<MemberId> {
+        self.order(config).first().copied()
     }
 
     /// The living first, then the others: who is believed dead may be just unheard here.
-    fn order(&self, terms: &Terms) -> Vec<MemberId> {
+    fn order(&self, config: &CouncilConfig) -> Vec<MemberId> {
         let (mut order, dead): (Vec<_>, Vec<_>) =
-            terms.councillors.iter().partition(|member| self.living.contains(member));
+            config.councillors.iter().partition(|member| self.living.contains(member));
         order.extend(dead);
         order
     }
 
-    pub fn bell_at(&self) -> Ms {
+    pub fn next_timer(&self) -> Ms {
         self.pending
             .values()
             .map(|pending| pending.bell.min(pending.until))
@@ -54,26 +54,39 @@
             .unwrap_or(Ms(f64::INFINITY))
     }
 
-    pub fn ask(&mut self, now: Ms, terms: &Terms, number: u64, what: (Key, Change), out: &mut dyn Wishes) {
+    pub fn submit(
+        &mut self,
+        now: Ms,
+        config: &CouncilConfig,
+        number: u64,
+        what: (Key, Change),
+        out: &mut dyn Effects,
+    ) {
         let (key, change) = what;
         let long = matches!(&change, Change::Set { body, .. } if body.len() > BODY_MOST);
         if long || self.pending.len() >= PENDING_MOST {
-            return out.answered(number, &Outcome::Turned);
+            return out.answered(number, &Outcome::Rejected);
         }
-        let pending = Pending { key, change, asked: 0, bell: now + terms.ask, until: now + terms.give_up };
-        self.send(terms, number, &pending, out);
+        let pending = Pending {
+            key,
+            change,
+            asked: 0,
+            bell: now + config.answer_timeout,
+            until: now + config.request_timeout,
+        };
+        self.send(config, number, &pending, out);
         self.pending.insert(number, pending);
     }
 
-    fn send(&self, terms: &Terms, number: u64, pending: &Pending, out: &mut dyn Wishes) {
-        let order = self.order(terms);
+    fn send(&self, config: &CouncilConfig, number: u64, pending: &Pending, out: &mut dyn Effects) {
+        let order = self.order(config);
         let Some(to) = order.get(pending.asked % order.len().max(1)) else { return };
-        let request = RequestId { member: terms.me, life: terms.life, number };
+        let request = RequestId { member: config.me, life: config.life, number };
         let change = pending.change.clone();
         out.send(*to, &Message::Propose { request, key: pending.key, change });
     }
 
-    pub fn bell(&mut self, now: Ms, terms: &Terms, out: &mut dyn Wishes) {
+    pub fn on_timer(&mut self, now: Ms, config: &CouncilConfig, out: &mut dyn Effects) {
         let due: Vec<u64> = self
             .pending
             .iter()
@@ -87,15 +100,21 @@
                 continue;
             }
             pending.asked += 1;
-            pending.bell = now + terms.ask;
-            self.send(terms, number, &pending, out);
+            pending.bell = now + config.answer_timeout;
+            self.send(config, number, &pending, out);
             self.pending.insert(number, pending);
         }
     }
 
     /// The first answer that says something; a councillor that gave up leaves the request to the next.
-    pub fn answer(&mut self, terms: &Terms, request: RequestId, outcome: &Outcome, out: &mut dyn Wishes) {
-        let own = request.member == terms.me && request.life == terms.life;
+    pub fn answer(
+        &mut self,
+        config: &CouncilConfig,
+        request: RequestId,
+        outcome: &Outcome,
+        out: &mut dyn Effects,
+    ) {
+        let own = request.member == config.me && request.life == config.life;
         if own && *outcome != Outcome::Unanswered && self.pending.remove(&request.number).is_some() {
             out.answered(request.number, outcome);
         }
--- a/consensus/src/round.rs
+++ b/consensus/src/round.rs
@@ -5,7 +5,7 @@
 use ottersail::time::Ms;
 use ottersail_membership::MemberId;
 
-use crate::message::Voice;
+use crate::message::GenerationView;
 use crate::quorum;
 use crate::types::{Ballot, Change, Outcome, RequestId, Value};
 
@@ -25,14 +25,14 @@
     Preparing(BTreeMap<MemberId, Promised>),
     Accepting {
         value: Value,
-        voices: BTreeMap<MemberId, Voice>,
+        voices: BTreeMap<MemberId, GenerationView>,
         done: bool,
     },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Promised {
-    pub voice: Voice,
+    pub view: GenerationView,
     pub accepted: Option<(Ballot, Value)>,
 }
 
@@ -67,7 +67,7 @@
 }
 
 impl Rules {
-    pub fn count<'a>(self, voices: impl Iterator<Item = (MemberId, &'a Voice)> + Clone) -> usize {
+    pub fn count<'a>(self, voices: impl Iterator<Item = (MemberId, &'a GenerationView)> + Clone) -> usize {
         if !self.memories {
             return voices.count();
         }
@@ -86,20 +86,20 @@
     let found = if rules.highest { accepted().max() } else { accepted().min() };
     let settled = found.is_some_and(|(ballot, _)| {
         let same = promises.iter().filter(|(_, p)| p.accepted.as_ref().is_some_and(|(b, _)| b == ballot));
-        rules.count(same.map(|(member, promised)| (*member, &promised.voice))) >= majority
+        rules.count(same.map(|(member, promised)| (*member, &promised.view))) >= majority
     });
     let current = found.map(|(_, value)| value.clone());
-    let own = rules.once && current.as_ref().is_some_and(|value| value.by == job.request);
+    let own = rules.once && current.as_ref().is_some_and(|value| value.request == job.request);
     let revision = current.as_ref().map_or(0, |value| value.revision);
     match (&job.change, current) {
         // A retry finds its own change. Symptom without that: it is told to have come too late.
         (Change::Set { .. }, Some(value)) if own => Next::Write { value, done: true },
         (Change::Set { if_revision, body }, _) if *if_revision == revision => {
-            let value = Value { revision: revision + 1, by: job.request, body: body.clone() };
+            let value = Value { revision: revision + 1, request: job.request, body: body.clone() };
             Next::Write { value, done: true }
         }
         // Perhaps a minority alone holds it. Symptom if told unwritten: a later read does not see it.
         (_, Some(value)) if rules.write_back && !settled => Next::Write { value, done: false },
-        (_, current) => Next::Tell(Outcome::Now(current)),
+        (_, current) => Next::Tell(Outcome::Current(current)),
     }
 }
--- a/consensus/src/tests/founding.rs
+++ b/consensus/src/tests/founding.rs
@@ -23,7 +23,7 @@
     for seed in 0..30 {
         let mut sim = new(count, seed, count);
         sim.run(Ms(8_000.0));
-        assert!(sim.up.values().all(Councillor::sound), "seed {seed}");
+        assert!(sim.up.values().all(Councillor::participates), "seed {seed}");
         let rolls: Vec<_> = sim.disks.values().map(|disk| disk.known.len()).collect();
         assert_eq!(rolls, vec![count as usize - 1; count as usize], "seed {seed}");
     }
@@ -35,13 +35,13 @@
 fn with_one_missing_the_founding_waits(count: u64) {
     let mut sim = new(count, 1, count - 1);
     sim.run(Ms(20_000.0));
-    assert!(!sim.up.values().any(Councillor::sound));
+    assert!(!sim.up.values().any(Councillor::participates));
     sim.start(MemberId(count));
     sim.run(Ms(8_000.0));
-    assert!(sim.up.values().all(Councillor::sound));
+    assert!(sim.up.values().all(Councillor::participates));
 }
 
-fn values(disk: &Stored) -> BTreeMap<Key, &Value> {
+fn values(disk: &StoredState) -> BTreeMap<Key, &Value> {
     disk.registers.iter().filter_map(|(key, held)| Some((*key, &held.accepted.as_ref()?.1))).collect()
 }
 
@@ -52,7 +52,7 @@
     let mut sim = Sim::new(count, 1, Faults::default(), Guards::ALL);
     let last = MemberId(count);
     for slot in 0..40 {
-        sim.ask(last, Key::Slots(slot), Change::Set { if_revision: 0, body: vec![slot; 300] });
+        sim.submit(last, Key::Slots(slot), Change::Set { if_revision: 0, body: vec![slot; 300] });
         sim.run(Ms(100.0));
     }
     // Twice each, so that the second memory has to be above the first.
@@ -66,7 +66,7 @@
     }
     for member in 1..=lost {
         let disk = &sim.disks[&MemberId(member)];
-        assert!(disk.sound && disk.memory.0 >> 48 > 0, "{:?}", disk.memory);
+        assert!(disk.participating && disk.generation.0 >> 48 > 0, "{:?}", disk.generation);
         assert_eq!(values(disk), values(&sim.disks[&last]));
     }
     assert_eq!(values(&sim.disks[&last]).len(), 40);
@@ -90,13 +90,13 @@
                 sim.start(any);
             }
             let at = sim.members[sim.chance.below(3)];
-            let known = sim.judge.newest(Key::Head);
-            sim.ask(at, Key::Head, Change::Set { if_revision: known, body: vec![step as u8] });
+            let known = sim.judge.newest(Key::Founding);
+            sim.submit(at, Key::Founding, Change::Set { if_revision: known, body: vec![step as u8] });
             sim.run(Ms(50.0));
         }
         assert_eq!(sim.judge.wrong, None, "seed {seed}");
-        agreed += u32::from(sim.judge.newest(Key::Head) > 0);
-        waiting += u32::from(sim.judge.newest(Key::Head) == 0);
+        agreed += u32::from(sim.judge.newest(Key::Founding) > 0);
+        waiting += u32::from(sim.judge.newest(Key::Founding) == 0);
     }
     println!("300 foundings with a lost store: {agreed} agreed on something in 6 s, {waiting} did not");
     assert!(agreed > 100, "{agreed}");
--- a/consensus/src/tests/guards.rs
+++ b/consensus/src/tests/guards.rs
@@ -18,11 +18,11 @@
     })
 }
 
-#[test_case(ROUGH, Guards { kept_first: false, ..Guards::ALL }; "replies before the disk has it")]
-#[test_case(ROUGH, Guards { promise: false, ..Guards::ALL }; "promises not held")]
-#[test_case(ROUGH, Guards { highest: false, ..Guards::ALL }; "not the highest accepted value taken up")]
+#[test_case(ROUGH, Guards { persist_before_reply: false, ..Guards::ALL }; "replies before the disk has it")]
+#[test_case(ROUGH, Guards { keep_promises: false, ..Guards::ALL }; "promises not held")]
+#[test_case(ROUGH, Guards { adopt_highest: false, ..Guards::ALL }; "not the highest accepted value taken up")]
 #[test_case(ROUGH, Guards { write_back: false, ..Guards::ALL }; "told before it is written back")]
-#[test_case(FORGETFUL, Guards { abstain: false, ..Guards::ALL }; "taking part without memory")]
+#[test_case(FORGETFUL, Guards { abstain_until_recovered: false, ..Guards::ALL }; "taking part without generation")]
 #[test_case(FORGETFUL, Guards { recovery_majority: false, ..Guards::ALL }; "recovered from too few")]
 fn without_it_a_history_breaks(faults: Faults, guards: Guards) {
     let found = broken(3, faults, guards, 3000);
@@ -46,7 +46,7 @@
 #[test_case(true)]
 #[test_case(false)]
 fn two_without_memory_found_no_council_beside_one_that_remembers(founding_all: bool) {
-    let guards = Guards { founding_all, ..Guards::ALL };
+    let guards = Guards { founding_by_all: founding_all, ..Guards::ALL };
     let mut sim = Sim::new(3, 1, Faults::default(), guards);
     for member in [MemberId(1), MemberId(2)] {
         sim.crash(member);
@@ -54,6 +54,6 @@
         sim.start(member);
     }
     sim.run(Ms(20_000.0));
-    assert_eq!(sim.up[&MemberId(1)].sound(), !founding_all);
-    assert_eq!(sim.up[&MemberId(2)].sound(), !founding_all);
+    assert_eq!(sim.up[&MemberId(1)].participates(), !founding_all);
+    assert_eq!(sim.up[&MemberId(2)].participates(), !founding_all);
 }
--- a/consensus/src/tests/histories.rs
+++ b/consensus/src/tests/histories.rs
@@ -7,7 +7,7 @@
 use crate::*;
 use ottersail::time::Ms;
 
-const KEYS: [Key; 2] = [Key::Head, Key::Slots(3)];
+const KEYS: [Key; 2] = [Key::Founding, Key::Slots(3)];
 
 /// Some seconds of faults with requests by all; then the judge's word.
 pub fn history(count: u64, seed: u64, faults: Faults, guards: Guards) -> Sim {
@@ -18,7 +18,7 @@
         let known = sim.up.get(&at).and_then(|c| c.follower().values().get(&key)).map_or(0, |v| v.revision);
         let set = Change::Set { if_revision: known, body: step.to_le_bytes().to_vec() };
         let change = if sim.chance.below(3) == 0 { Change::Read } else { set };
-        sim.ask(at, key, change);
+        sim.submit(at, key, change);
         sim.trouble();
         if sim.judge.wrong.is_some() {
             break;
@@ -32,14 +32,15 @@
     sim.faults = Faults::default();
     sim.cuts.clear();
     sim.run(Ms(3_000.0));
-    let asked: Vec<_> = KEYS.iter().map(|key| (*key, sim.ask(sim.members[0], *key, Change::Read))).collect();
+    let asked: Vec<_> =
+        KEYS.iter().map(|key| (*key, sim.submit(sim.members[0], *key, Change::Read))).collect();
     sim.run(Ms(3_000.0));
     for (key, number) in asked {
         match sim.judge.answers.get(&(sim.members[0], number)) {
-            Some((Outcome::Now(_), _)) => {}
+            Some((Outcome::Current(_), _)) => {}
             other => {
                 let standing =
-                    |(member, c): (&MemberId, &Councillor)| (*member, c.sound(), c.acceptor().voice());
+                    |(member, c): (&MemberId, &Councillor)| (*member, c.participates(), c.acceptor().view());
                 let all: Vec<_> = sim.up.iter().map(standing).collect();
                 return Err(format!("{key:?} read with all well: {other:?}, {all:?}"));
             }
--- a/consensus/src/tests/judge.rs
+++ b/consensus/src/tests/judge.rs
@@ -34,12 +34,12 @@
     pub fn answer(&mut self, now: Ms, at: MemberId, number: u64, outcome: &Outcome) {
         let Some(&(key, known)) = self.asked.get(&(at, number)) else { return };
         let revision = match outcome {
-            Outcome::Done(value) | Outcome::Now(Some(value)) => {
+            Outcome::Chosen(value) | Outcome::Current(Some(value)) => {
                 self.tell(key, value);
                 value.revision
             }
-            Outcome::Now(None) => 0,
-            Outcome::Unanswered | Outcome::Turned => known,
+            Outcome::Current(None) => 0,
+            Outcome::Unanswered | Outcome::Rejected => known,
         };
         if revision < known {
             self.wrong = Some(format!("{key:?} at {known} when asked, answered {outcome:?}"));
@@ -59,11 +59,11 @@
     pub answers: Vec<(u64, Outcome)>,
 }
 
-impl Wishes for Heap {
+impl Effects for Heap {
     fn send(&mut self, to: MemberId, message: &Message) {
         self.sent.push((to, message.clone()));
     }
-    fn keep(&mut self, token: Token, records: &[Record]) {
+    fn persist(&mut self, token: Token, records: &[Record]) {
         self.keeps.push((token, records.to_vec()));
     }
     fn chosen(&mut self, key: Key, value: &Value) {
@@ -75,13 +75,14 @@
 }
 
 /// Stores as after a founding.
-pub fn founded(members: &[MemberId]) -> BTreeMap<MemberId, Stored> {
-    let roll: Memories = members.iter().map(|member| (*member, Memory(member.0))).collect();
-    let stored = |member: &MemberId| Stored {
-        sound: true,
-        roll: Some(roll.clone()),
-        known: roll.clone(),
-        ..Stored::new(Memory(member.0))
+pub fn founded(members: &[MemberId]) -> BTreeMap<MemberId, StoredState> {
+    let founders: StoreGenerations =
+        members.iter().map(|member| (*member, StoreGeneration(member.0))).collect();
+    let stored = |member: &MemberId| StoredState {
+        participating: true,
+        founders: Some(founders.clone()),
+        known: founders.clone(),
+        ..StoredState::new(StoreGeneration(member.0))
     };
     members.iter().map(|member| (*member, stored(member))).collect()
 }
--- a/consensus/src/tests/sim.rs
+++ b/consensus/src/tests/sim.rs
@@ -29,7 +29,7 @@
 struct Moody(bool);
 
 impl Guard for Moody {
-    fn allows(&self, _: Ms, _: Key, _: &Stored, _: &Value) -> bool {
+    fn allows(&self, _: Ms, _: Key, _: &StoredState, _: &Value) -> bool {
         !self.0
     }
 }
@@ -48,7 +48,7 @@
     pub faults: Faults,
     pub guards: Guards,
     pub up: BTreeMap<MemberId, Councillor>,
-    pub disks: BTreeMap<MemberId, Stored>,
+    pub disks: BTreeMap<MemberId, StoredState>,
     unsynced: BTreeMap<MemberId, Vec<(Token, Vec<Record>)>>,
     events: BTreeMap<(Ms, u64), Event>,
     pub cuts: BTreeSet<(MemberId, MemberId)>,
@@ -87,18 +87,20 @@
 
     pub fn start(&mut self, member: MemberId) {
         self.drawn += 1;
-        let terms = Terms::new(member, Life(self.drawn), &self.members, self.drawn);
-        let disk =
-            self.disks.entry(member).or_insert_with(|| Stored::new(Memory::drawn(u64::MAX - self.drawn)));
-        let mut councillor = Councillor::born(self.now, terms, disk.clone());
+        let config = CouncilConfig::new(member, Life(self.drawn), &self.members, self.drawn);
+        let disk = self
+            .disks
+            .entry(member)
+            .or_insert_with(|| StoredState::new(StoreGeneration::drawn(u64::MAX - self.drawn)));
+        let mut councillor = Councillor::new(self.now, config, disk.clone());
         councillor.sabotage(self.guards);
         self.up.insert(member, councillor);
-        self.living();
+        self.set_living();
     }
 
-    fn living(&mut self) {
+    fn set_living(&mut self) {
         let living: BTreeSet<MemberId> = self.up.keys().copied().collect();
-        self.up.values_mut().for_each(|councillor| councillor.living(&living));
+        self.up.values_mut().for_each(|councillor| councillor.set_living(&living));
     }
 
     pub fn forget(&mut self, member: MemberId) {
@@ -111,25 +113,25 @@
         // Some of what was wished last may have reached the disk untold.
         for (_, records) in unsynced.iter().take(self.chance.below(unsynced.len() + 1)) {
             let disk = self.disks.entry(member).or_default();
-            records.iter().for_each(|record| disk.take(record));
+            records.iter().for_each(|record| disk.apply(record));
         }
-        self.living();
+        self.set_living();
     }
 
-    pub fn ask(&mut self, at: MemberId, key: Key, change: Change) -> u64 {
+    pub fn submit(&mut self, at: MemberId, key: Key, change: Change) -> u64 {
         self.drawn += 1;
         let number = self.drawn;
         self.judge.asked.insert((at, number), (key, self.judge.newest(key)));
-        self.call(at, |councillor, now, guard, out| councillor.ask(now, number, key, change, guard, out));
+        self.call(at, |councillor, now, guard, out| councillor.submit(now, number, key, change, guard, out));
         number
     }
 
-    fn call(&mut self, at: MemberId, step: impl FnOnce(&mut Councillor, Ms, &dyn Guard, &mut dyn Wishes)) {
+    fn call(&mut self, at: MemberId, step: impl FnOnce(&mut Councillor, Ms, &dyn Guard, &mut dyn Effects)) {
         let Some(councillor) = self.up.get_mut(&at) else { return };
         let mut heap = Heap::default();
         let guard = Moody(self.chance.below(1000) < self.faults.refuse);
         step(councillor, self.now, &guard, &mut heap);
-        let life = councillor.follower().terms().life;
+        let life = councillor.follower().config().life;
         for (to, message) in heap.sent {
             let size = postcard::to_allocvec(&message).map(|bytes| bytes.len()).unwrap_or(usize::MAX);
             assert!(size <= 900, "{size} bytes: {message:?}");
@@ -168,11 +170,11 @@
         let until = self.now + span;
         loop {
             let event = self.events.keys().next().copied().filter(|(at, _)| *at <= until);
-            let bell = self.up.iter().map(|(member, c)| (c.bell_at(), *member)).min();
+            let bell = self.up.iter().map(|(member, c)| (c.next_timer(), *member)).min();
             match (event, bell) {
                 (event, Some((at, member))) if at <= until && event.is_none_or(|(first, _)| at < first) => {
                     self.now = self.now.max(at);
-                    self.call(member, |councillor, now, guard, out| councillor.bell(now, guard, out));
+                    self.call(member, |councillor, now, guard, out| councillor.on_timer(now, guard, out));
                 }
                 (Some(first), _) => {
                     self.now = first.0;
@@ -196,12 +198,12 @@
                 }
                 *heard = life;
                 self.call(to, |councillor, now, guard, out| {
-                    councillor.message(now, from, &message, guard, out)
+                    councillor.on_message(now, from, &message, guard, out)
                 });
             }
             Event::Deliver { .. } => {}
             Event::Kept { at, life, token } => {
-                if self.up.get(&at).is_none_or(|c| c.follower().terms().life != life) {
+                if self.up.get(&at).is_none_or(|c| c.follower().config().life != life) {
                     return;
                 }
                 self.sync_upto(at, token);
@@ -220,8 +222,8 @@
         self.unsynced.insert(at, rest);
         for (token, records) in done {
             let disk = self.disks.entry(at).or_default();
-            records.iter().for_each(|record| disk.take(record));
-            self.call(at, |councillor, now, guard, out| councillor.kept(now, token, guard, out));
+            records.iter().for_each(|record| disk.apply(record));
+            self.call(at, |councillor, now, guard, out| councillor.on_persisted(now, token, guard, out));
         }
     }
 
@@ -235,7 +237,8 @@
         }
         if self.chance.below(1000) < self.faults.crash && self.up.contains_key(&any) {
             self.crash(any);
-            let sound = self.disks.iter().filter(|(member, disk)| **member != any && disk.sound).count();
+            let sound =
+                self.disks.iter().filter(|(member, disk)| **member != any && disk.participating).count();
             if self.chance.below(1000) < self.faults.forget && sound > self.members.len() / 2 {
                 self.forget(any);
             }
--- a/consensus/src/tests/sizes.rs
+++ b/consensus/src/tests/sizes.rs
@@ -2,7 +2,7 @@
 
 use test_case::test_case;
 
-use crate::message::Voice;
+use crate::message::GenerationView;
 use crate::*;
 
 const MOST: usize = 900;
@@ -14,13 +14,13 @@
 }
 
 fn value() -> Value {
-    Value { revision: u64::MAX, by: ID, body: vec![255; BODY_MOST] }
+    Value { revision: u64::MAX, request: ID, body: vec![255; BODY_MOST] }
 }
 
 /// Of seven councillors.
-fn voice() -> Voice {
-    let known = (0..7).map(|member| (MemberId(u64::MAX - member), Memory(u64::MAX))).collect();
-    Voice { memory: Memory(u64::MAX), known }
+fn view() -> GenerationView {
+    let known = (0..7).map(|member| (MemberId(u64::MAX - member), StoreGeneration(u64::MAX))).collect();
+    GenerationView { generation: StoreGeneration(u64::MAX), known }
 }
 
 fn change() -> Change {
@@ -31,17 +31,17 @@
     vec![(KEY, Register { promised: ballot(), accepted: Some((ballot(), value())) })]
 }
 
-#[test_case(Message::Promise { key: KEY, ballot: ballot(), accepted: Some((ballot(), value())), voice: voice() })]
+#[test_case(Message::Promise { key: KEY, ballot: ballot(), accepted: Some((ballot(), value())), view: view() })]
 #[test_case(Message::Accept { key: KEY, ballot: ballot(), value: value() })]
-#[test_case(Message::Accepted { key: KEY, ballot: ballot(), voice: voice() })]
+#[test_case(Message::Accepted { key: KEY, ballot: ballot(), view: view() })]
 #[test_case(Message::Learned { key: KEY, value: value() })]
 #[test_case(Message::Propose { request: ID, key: KEY, change: change() })]
-#[test_case(Message::Answer { request: ID, outcome: Outcome::Done(value()) })]
-#[test_case(Message::Recover { memory: Memory(u64::MAX), roll: Some(voice().known), after: Some(KEY) })]
+#[test_case(Message::Answer { request: ID, outcome: Outcome::Chosen(value()) })]
+#[test_case(Message::Recover { generation: StoreGeneration(u64::MAX), founders: Some(view().known), after: Some(KEY) })]
 #[test_case(Message::Recovered {
-    memory: Memory(u64::MAX), after: Some(KEY), page: page(), more: true, voice: voice()
+    generation: StoreGeneration(u64::MAX), after: Some(KEY), page: page(), more: true, view: view()
 })]
-#[test_case(Message::Fetch { after: Some(KEY), upto: Some(KEY), have: vec![(KEY, u64::MAX); 50] })]
+#[test_case(Message::Fetch { after: Some(KEY), up_to: Some(KEY), known_revisions: vec![(KEY, u64::MAX); 50] })]
 #[test_case(Message::Found { values: vec![(KEY, value())], more: Some(KEY) })]
 fn fits(message: Message) {
     let bytes = postcard::to_allocvec(&message).unwrap();
--- a/consensus/src/tests/times.rs
+++ b/consensus/src/tests/times.rs
@@ -13,10 +13,10 @@
         let members: Vec<MemberId> = sim.up.keys().copied().collect();
         let at = members[number as usize % members.len()];
         let change = Change::Set { if_revision: number, body: number.to_le_bytes().to_vec() };
-        let (asked, began) = (sim.ask(at, Key::Head, change), sim.now);
+        let (asked, began) = (sim.submit(at, Key::Founding, change), sim.now);
         sim.run(Ms(6_500.0));
         let (outcome, ended) = sim.judge.answers[&(at, asked)].clone();
-        assert!(matches!(&outcome, Outcome::Done(value) if value.revision == number + 1), "{outcome:?}");
+        assert!(matches!(&outcome, Outcome::Chosen(value) if value.revision == number + 1), "{outcome:?}");
         slowest = slowest.max(ended - began);
     }
     slowest
@@ -36,7 +36,7 @@
     let all = sim.up.keys().copied().collect();
     (1..=dead).for_each(|member| sim.crash(MemberId(member)));
     if unknown {
-        sim.up.values_mut().for_each(|councillor| councillor.living(&all));
+        sim.up.values_mut().for_each(|councillor| councillor.set_living(&all));
     }
     let slowest = slowest(&mut sim);
     println!("{count} councillors, {dead} dead, unknown {unknown}: slowest of 40 {:.0} ms", slowest.0);
@@ -51,14 +51,14 @@
     (1..=count / 2 + 1).for_each(|member| sim.crash(MemberId(member)));
     let last = MemberId(count);
     let set = |if_revision| Change::Set { if_revision, body: vec![7] };
-    let number = sim.ask(last, Key::Head, set(0));
+    let number = sim.submit(last, Key::Founding, set(0));
     sim.run(Ms(20_000.0));
     assert_eq!(sim.judge.answers[&(last, number)].0, Outcome::Unanswered);
     assert!(sim.judge.told.is_empty());
     sim.start(MemberId(1));
-    let number = sim.ask(last, Key::Head, Change::Set { if_revision: 0, body: vec![8] });
+    let number = sim.submit(last, Key::Founding, Change::Set { if_revision: 0, body: vec![8] });
     sim.run(Ms(3_000.0));
-    assert!(matches!(&sim.judge.answers[&(last, number)].0, Outcome::Done(_)));
+    assert!(matches!(&sim.judge.answers[&(last, number)].0, Outcome::Chosen(_)));
 }
 
 #[test]
@@ -66,12 +66,12 @@
     let mut sim = Sim::new(5, 1, Faults::default(), Guards::ALL);
     for number in 0..50 {
         for member in sim.members.clone() {
-            sim.ask(member, Key::Head, Change::Set { if_revision: number, body: vec![1] });
+            sim.submit(member, Key::Founding, Change::Set { if_revision: number, body: vec![1] });
         }
         sim.run(Ms(1_000.0));
     }
-    let rounds = sim.up[&MemberId(1)].acceptor().stored().registers[&Key::Head].promised.number;
-    assert_eq!(sim.judge.newest(Key::Head), 50);
+    let rounds = sim.up[&MemberId(1)].acceptor().stored().registers[&Key::Founding].promised.number;
+    assert_eq!(sim.judge.newest(Key::Founding), 50);
     assert!(sim.judge.answers.len() == 250, "{}", sim.judge.answers.len());
     println!("250 requests of 5 members took {rounds} rounds");
     assert!(rounds <= 275, "{rounds}");
--- a/consensus/src/types.rs
+++ b/consensus/src/types.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Key {
     /// What is fixed at the founding.
-    Head,
+    Founding,
     /// One bucket of slots.
     Slots(u8),
     /// An operator's or a later layer's order.
@@ -34,7 +34,7 @@
     /// 1 for the first, one more at each change.
     pub revision: u64,
     /// The request that made it, so that a retry finds its own work done and does not do it twice.
-    pub by: RequestId,
+    pub request: RequestId,
     pub body: Vec<u8>,
 }
 
@@ -49,21 +49,21 @@
 /// Which store a councillor stands on. The upper 16 bits count the losses the others knew of, the lower 48 are drawn
 /// when the store is created; of two memories of one councillor the lesser is lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Memory(pub u64);
+pub struct StoreGeneration(pub u64);
 
-impl Memory {
-    pub fn drawn(chance: u64) -> Memory {
-        Memory(chance & 0xffff_ffff_ffff)
+impl StoreGeneration {
+    pub fn drawn(chance: u64) -> StoreGeneration {
+        StoreGeneration(chance & 0xffff_ffff_ffff)
     }
 
     /// The same draw, above that other.
-    pub fn above(self, other: Memory) -> Memory {
-        Memory((((other.0 >> 48) + 1) << 48) | (self.0 & 0xffff_ffff_ffff))
+    pub fn above(self, other: StoreGeneration) -> StoreGeneration {
+        StoreGeneration((((other.0 >> 48) + 1) << 48) | (self.0 & 0xffff_ffff_ffff))
     }
 }
 
 /// Each councillor's memory, as far as known.
-pub type Memories = BTreeMap<MemberId, Memory>;
+pub type StoreGenerations = BTreeMap<MemberId, StoreGeneration>;
 
 /// What an acceptor holds of one key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -78,30 +78,30 @@
 pub enum Record {
     Register(Key, Register),
     /// That councillor now stands on that memory.
-    Known(MemberId, Memory),
+    PeerGeneration(MemberId, StoreGeneration),
     /// The memory this store stands on, raised when the others knew a later one.
-    Mine(Memory),
+    OwnGeneration(StoreGeneration),
     /// The memories of all at the founding, as this councillor saw them; written once per memory.
-    Roll(Memories),
+    Founders(StoreGenerations),
     /// From here on this councillor takes part.
-    Sound,
+    Participating,
 }
 
 /// All that a store holds, read at the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Stored {
-    pub memory: Memory,
+pub struct StoredState {
+    pub generation: StoreGeneration,
     /// Whether the founding or a recovery has been gone through.
-    pub sound: bool,
-    pub roll: Option<Memories>,
-    pub known: Memories,
+    pub participating: bool,
+    pub founders: Option<StoreGenerations>,
+    pub known: StoreGenerations,
     pub registers: BTreeMap<Key, Register>,
 }
 
-impl Stored {
+impl StoredState {
     /// A store just created.
-    pub fn new(memory: Memory) -> Stored {
-        Stored { memory, ..Stored::default() }
+    pub fn new(generation: StoreGeneration) -> StoredState {
+        StoredState { generation, ..StoredState::default() }
     }
 
     /// What was accepted last there; whether it is chosen is not known here.
@@ -109,20 +109,20 @@
         self.registers.get(&key)?.accepted.as_ref().map(|(_, value)| value)
     }
 
-    pub fn take(&mut self, record: &Record) {
+    pub fn apply(&mut self, record: &Record) {
         match record {
             Record::Register(key, register) => {
                 self.registers.insert(*key, register.clone());
             }
-            Record::Known(member, memory) => {
-                self.known.insert(*member, *memory);
+            Record::PeerGeneration(member, generation) => {
+                self.known.insert(*member, *generation);
             }
-            Record::Mine(memory) => {
-                self.memory = *memory;
-                self.roll = None;
+            Record::OwnGeneration(generation) => {
+                self.generation = *generation;
+                self.founders = None;
             }
-            Record::Roll(roll) => self.roll = Some(roll.clone()),
-            Record::Sound => self.sound = true,
+            Record::Founders(founders) => self.founders = Some(founders.clone()),
+            Record::Participating => self.participating = true,
         }
     }
 }
@@ -142,12 +142,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Outcome {
     /// The change is chosen: it can't be lost while a majority keeps its memory.
-    Done(Value),
+    Chosen(Value),
     /// The answer to a read, or to a change whose revision was another: what is chosen now. A retried change
     /// that was chosen and then followed by another is answered so too.
-    Now(Option<Value>),
+    Current(Option<Value>),
     /// No answer in time: chosen or not, nobody knows yet. Asking again under the same number is safe.
     Unanswered,
     /// Never tried: the body is too long or too many wait for that key.
-    Turned,
+    Rejected,
 }
--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -16,7 +16,7 @@
 use async_channel::{Receiver, Sender};
 use book::Book;
 use council::{Council, Counsel};
-pub use door::MEMBER;
+pub use door::MEMBER_HEADER;
 use door::{Door, Doors, Knocks};
 use hands::Hands;
 use ottersail_membership::gate::{Gate, Opened};
@@ -67,7 +67,7 @@
 ///
 /// # Errors
 /// What the machine would not take.
-pub fn terms(manager: &Manager, life: Life) -> Result<Option<Terms>, RunError> {
+pub fn member_terms(manager: &Manager, life: Life) -> Result<Option<Terms>, RunError> {
     let Some(told) = &manager.members else {
         return Ok(None);
     };
@@ -91,7 +91,7 @@
         owner: &Rc<Owner>,
     ) -> Result<Option<Rc<Fleet>>, RunError> {
         let life = Life(unguessed());
-        let (Some(told), Some(terms)) = (&manager.members, terms(manager, life)?) else {
+        let (Some(told), Some(terms)) = (&manager.members, member_terms(manager, life)?) else {
             return Ok(None);
         };
         let address = SocketAddr::V4(told.listen);
--- a/daemon/src/fleet/council.rs
+++ b/daemon/src/fleet/council.rs
@@ -13,6 +13,7 @@
 mod orders;
 mod post;
 mod release_figures;
+mod release_guard;
 mod releases;
 mod seat;
 mod settle;
@@ -28,7 +29,7 @@
 use keys::Head;
 use ottersail::time::Ms;
 use ottersail_consensus as council;
-use ottersail_consensus::Terms as CouncilTerms;
+use ottersail_consensus::CouncilConfig;
 use ottersail_leases::{Figures, Holder, Needs, Renewals, Rider, Terms};
 use ottersail_membership::{Known, Life, MemberId, State, Topic};
 use post::{Out, Post, NEED, REVISIONS};
@@ -58,7 +59,7 @@
     names: BTreeMap<MemberId, String>,
     own: Head,
     seed: u64,
-    terms: CouncilTerms,
+    terms: CouncilConfig,
     seat: Seat,
     /// Name and zone.
     home: (String, String),
@@ -93,9 +94,9 @@
         let id = |name: &String| MemberId::of(&members.cluster, name);
         let me = (id(&members.name), life);
         let councillors: Vec<MemberId> = told.councillors.iter().map(id).collect();
-        let mut terms = CouncilTerms::new(me.0, life, &councillors, seed);
+        let mut terms = CouncilConfig::new(me.0, life, &councillors, seed);
         // A holder waits half a lease for an answer, and then asks anew.
-        terms.give_up = terms.give_up.min(Ms(f64::from(told.lease_ms) * 0.5));
+        terms.request_timeout = terms.request_timeout.min(Ms(f64::from(told.lease_ms) * 0.5));
         let opened = told.store.as_ref().and_then(|path| keeper::open(path));
         let (seat, keeper) = Seat::born(now, &terms, opened);
         let own = Head { slots: told.slots, lease_ms: told.lease_ms, drift_ppm: told.drift_ppm };
@@ -129,14 +130,14 @@
     }
 
     /// A viewing was asked for.
-    pub fn arrived(&self) {
+    pub fn viewing_requested(&self) {
         self.arrivals.set(self.arrivals.get().saturating_add(1));
     }
 
     pub fn bell_at(&self) -> Ms {
         let holder = self.held.as_ref().map_or(Ms(f64::INFINITY), |it| it.holder.bell_at());
         let releases = self.releases.as_ref().map_or(Ms(f64::INFINITY), Releases::bell_at);
-        self.look_at.min(self.seat.bell_at()).min(holder).min(self.share.bell_at()).min(releases)
+        self.look_at.min(self.seat.next_timer()).min(holder).min(self.share.bell_at()).min(releases)
     }
 
     /// What the members believe, and what they carry.
@@ -154,11 +155,11 @@
         let living: Vec<_> = all.filter(up).collect();
         self.alive = living.iter().map(|(id, known)| (**id, known.life)).collect();
         let set = self.alive.keys().copied().chain([self.me.0]).collect();
-        self.seat.living(&set);
+        self.seat.set_living(&set);
         let mut wants = Wants::default();
         for (id, known) in &living {
             if let Some(rider) = known.riders.get(&REVISIONS) {
-                self.seat.heard(now, **id, rider, &mut wants);
+                self.seat.on_digest(now, **id, rider, &mut wants);
             }
         }
         if let Some(held) = &mut self.held {
@@ -175,7 +176,7 @@
             self.ask(now, keys::Ask::Head, council::Change::Read, &mut wants);
         }
         self.release(now, living.iter().copied(), &mut wants);
-        out.riders.push((REVISIONS, self.seat.follower().rider()));
+        out.riders.push((REVISIONS, self.seat.follower().revision_digest()));
         self.settle(now, wants, out);
     }
 
--- a/daemon/src/fleet/council/carry.rs
+++ b/daemon/src/fleet/council/carry.rs
@@ -7,7 +7,7 @@
 use ottersail_front::tape::Told;
 use ottersail_membership::{MemberId, Topic};
 use ottersail_net::Timer;
-use ottersail_rollout::{Counts, Name, Order};
+use ottersail_rollout::{Name, Order, ViewingCounts};
 use prometheus_client::registry::Registry;
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -56,9 +56,9 @@
     }
 
     /// A viewing was asked for here.
-    pub fn arrived(&self) {
+    pub fn viewing_requested(&self) {
         if let Some(council) = self.counsel.council.borrow().as_ref() {
-            council.arrived();
+            council.viewing_requested();
         }
     }
 
@@ -111,12 +111,12 @@
     }
 
     /// Comes back once this manager goes out by a permit, with the version to come back with.
-    pub async fn goes_out(&self) -> Option<Name> {
+    pub async fn departure(&self) -> Option<Name> {
         self.counsel.out.1.recv().await.ok()
     }
 
     /// An order of this manager's own file.
-    pub fn order(&self, order: Order) {
+    pub fn submit_order(&self, order: Order) {
         self.council(|it, _, _| it.order(order));
     }
 
@@ -126,7 +126,7 @@
         let clock = ottersail_front::Ms(owner.clock.now());
         let (whole, it) = owner.front(|it| (it.whole(clock), it.counts()));
         let (set_ups, set_up_ms) = owner.set_ups();
-        let counts = Counts {
+        let counts = ViewingCounts {
             // Whoever is not even taken is blocked to its viewer.
             asked: it.asked + it.turned_away_untaken,
             blocked: it.blocked + it.turned_away_untaken,
--- a/daemon/src/fleet/council/figures.rs
+++ b/daemon/src/fleet/council/figures.rs
@@ -51,10 +51,10 @@
             Ask::Order(_) => "order",
         };
         let outcome = match outcome {
-            Outcome::Done(_) => "done",
-            Outcome::Now(_) => "now",
+            Outcome::Chosen(_) => "done",
+            Outcome::Current(_) => "now",
             Outcome::Unanswered => "unanswered",
-            Outcome::Turned => "turned",
+            Outcome::Rejected => "turned",
         };
         let of = vec![("ask", ask.into()), ("outcome", outcome.into())];
         self.answers.get_or_create(&of).observe(took.0 / 1e3);
@@ -98,7 +98,7 @@
             registry,
             "council_sound",
             "1 while this councillor takes part",
-            self.seat.sound().is_some().into(),
+            self.seat.participating_councillor().is_some().into(),
         );
         let preferred: Family<Of, Gauge> = Family::default();
         if let Some(name) = follower.preferred().and_then(|it| self.names.get(&it)) {
--- a/daemon/src/fleet/council/keeper.rs
+++ b/daemon/src/fleet/council/keeper.rs
@@ -3,7 +3,7 @@
 
 use crate::error::RunError;
 use async_channel::{Receiver, Sender};
-use ottersail_consensus::{Memory, Record, Stored, Token};
+use ottersail_consensus::{Record, StoreGeneration, StoredState, Token};
 use ottersail_register::Store;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -42,8 +42,8 @@
 }
 
 /// The store, or `None` with a line that says what to do: viewings go on without it.
-pub(super) fn open(path: &Path) -> Option<(Store, Stored)> {
-    match Store::open(path, Memory::drawn(crate::fleet::unguessed())) {
+pub(super) fn open(path: &Path) -> Option<(Store, StoredState)> {
+    match Store::open(path, StoreGeneration::drawn(crate::fleet::unguessed())) {
         Ok(opened) => Some(opened),
         Err(trouble) => {
             error!(target: "council", %trouble, "no store: this councillor abstains, viewings go on");
@@ -76,7 +76,7 @@
     while let Ok(first) = waiting.recv_blocking() {
         let more = std::iter::from_fn(|| waiting.try_recv().ok());
         let wishes: Vec<Wish> = std::iter::once(first).chain(more.take(TOGETHER - 1)).collect();
-        if let Err(trouble) = store.keep(wishes.iter().flat_map(|it| &it.records)) {
+        if let Err(trouble) = store.persist(wishes.iter().flat_map(|it| &it.records)) {
             error!(target: "council", %trouble, "the store failed: this councillor abstains, viewings go on");
             return;
         }
@@ -97,7 +97,8 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("council");
         let keeper = Keeper::start(open(&path).unwrap().0).unwrap();
-        let memory = |it: u64| [Record::Known(ottersail_membership::MemberId(it), Memory(it))];
+        let memory =
+            |it: u64| [Record::PeerGeneration(ottersail_membership::MemberId(it), StoreGeneration(it))];
         assert!((1..=40).all(|it| keeper.put(Wish::new(Token(it), &memory(it)))));
         let done: Vec<u64> = (1..=40).map(|_| keeper.done.recv_blocking().unwrap().token.0).collect();
         assert_eq!(done, (1..=40).collect::<Vec<_>>());
--- a/daemon/src/fleet/council/keys.rs
+++ b/daemon/src/fleet/council/keys.rs
@@ -50,7 +50,7 @@
 impl Ask {
     pub fn key(self) -> Key {
         match self {
-            Ask::Head => Key::Head,
+            Ask::Head => Key::Founding,
             Ask::Read(no) | Ask::Propose(no) => Key::Slots(no.0),
             Ask::Order(key) => key,
         }
@@ -60,15 +60,15 @@
     pub fn answer(self, outcome: Outcome) -> Answer {
         let parts = |it: Option<Value>| it.map_or((0, Vec::new()), |it| (it.revision, it.body));
         match outcome {
-            Outcome::Done(value) => Answer::Chosen { revision: value.revision, body: value.body },
-            Outcome::Now(value) => {
+            Outcome::Chosen(value) => Answer::Chosen { revision: value.revision, body: value.body },
+            Outcome::Current(value) => {
                 let (revision, body) = parts(value);
                 match self {
                     Ask::Propose(_) => Answer::Conflict { revision, body },
                     _ => Answer::Chosen { revision, body },
                 }
             }
-            Outcome::Unanswered | Outcome::Turned => Answer::Refused,
+            Outcome::Unanswered | Outcome::Rejected => Answer::Refused,
         }
     }
 }
@@ -98,18 +98,21 @@
     fn what_stands_is_an_answer_to_a_reading_and_against_a_change() {
         let value = Value { revision: 4, body: vec![1], ..absent() };
         let no = BucketNo(1);
-        let stands = || Outcome::Now(Some(value.clone()));
+        let stands = || Outcome::Current(Some(value.clone()));
         let (revision, body) = (4, vec![1]);
         let read = Ask::Read(no).answer(stands());
         assert_eq!(read, Answer::Chosen { revision, body: body.clone() });
         assert_eq!(Ask::Propose(no).answer(stands()), Answer::Conflict { revision, body: body.clone() });
-        assert_eq!(Ask::Propose(no).answer(Outcome::Done(value.clone())), Answer::Chosen { revision, body });
+        assert_eq!(
+            Ask::Propose(no).answer(Outcome::Chosen(value.clone())),
+            Answer::Chosen { revision, body }
+        );
         let nothing = Answer::Chosen { revision: 0, body: vec![] };
-        assert_eq!(Ask::Read(no).answer(Outcome::Now(None)), nothing);
+        assert_eq!(Ask::Read(no).answer(Outcome::Current(None)), nothing);
         assert_eq!(Ask::Propose(no).answer(Outcome::Unanswered), Answer::Refused);
     }
 
     fn absent() -> Value {
-        Value { revision: 0, by: Default::default(), body: vec![] }
+        Value { revision: 0, request: Default::default(), body: vec![] }
     }
 }
--- a/daemon/src/fleet/council/leave_tests.rs
+++ b/daemon/src/fleet/council/leave_tests.rs
@@ -6,7 +6,7 @@
 
 /// Holds slots 0 and 1 of 32, and the module uses them.
 fn council() -> Council {
-    let terms = CouncilTerms::new(ME.0, ME.1, &[COUNCILLOR], 1);
+    let terms = CouncilConfig::new(ME.0, ME.1, &[COUNCILLOR], 1);
     let own = Head { slots: 32, lease_ms: 1_000, drift_ppm: 0 };
     let parts = own.terms(&[COUNCILLOR]);
     let mut holder = holder();
--- a/daemon/src/fleet/council/lines.rs
+++ b/daemon/src/fleet/council/lines.rs
@@ -4,12 +4,12 @@
 use super::seat::Seat;
 use ottersail_consensus::{Key, Value};
 use ottersail_leases::PartsError;
-use ottersail_rollout::{Held, Note, Order, Refusal};
+use ottersail_rollout::{Event, Order, OrderNotPut, Refusal, State};
 use tracing::{error, info, warn};
 
 pub(super) fn key(it: Key) -> String {
     match it {
-        Key::Head => "head".into(),
+        Key::Founding => "head".into(),
         Key::Slots(no) => format!("slots-{no}"),
         Key::Order(no) => format!("order-{no}"),
     }
@@ -65,9 +65,20 @@
     );
 }
 
+/// The order's state as the log writes it.
+fn state_name(state: State) -> &'static str {
+    match state {
+        State::Go => "Go",
+        State::Halt => "Halt",
+        State::Back => "Back",
+        State::HaltedByEvidence => "Stopped",
+    }
+}
+
 pub(super) fn ordered(revision: u64, order: &Order) {
     let Order { serial, name, version, state, .. } = order;
-    info!(target: "releases", revision, serial = serial.0, %name, %version, ?state, "ordered");
+    let state = state_name(*state);
+    info!(target: "releases", revision, serial = serial.0, %name, %version, %state, "ordered");
 }
 
 pub(super) fn file_stands(file: &Order) {
@@ -91,7 +102,7 @@
     warn!(target: "releases", serial = file.serial.0, "the order of the file lifts a halt by evidence");
 }
 
-pub(super) fn file_held(why: &Held) {
+pub(super) fn file_held(why: &OrderNotPut) {
     warn!(target: "releases", %why, "the order of the file");
 }
 
@@ -99,9 +110,9 @@
     info!(target: "releases", key = key(it), %refusal, "kept out of the register");
 }
 
-pub(super) fn note(it: &Note) {
+pub(super) fn note(it: &Event) {
     match it {
-        Note::Waits { .. } | Note::OtherVersion { .. } | Note::Evidence { .. } => {
+        Event::Waits { .. } | Event::OtherVersion { .. } | Event::Evidence { .. } => {
             warn!(target: "releases", "{it}");
         }
         _ => info!(target: "releases", "{it}"),
--- a/daemon/src/fleet/council/orders.rs
+++ b/daemon/src/fleet/council/orders.rs
@@ -2,11 +2,12 @@
 
 use super::keys::{set, Ask, Head};
 use super::post::Post;
-use super::releases::{allows, Releases};
+use super::release_guard::allows;
+use super::releases::Releases;
 use super::wants::{Input, Wants};
 use super::{lines, Council, Held};
 use ottersail::time::Ms;
-use ottersail_consensus::{Change, Guard, Key, MemberId, Outcome, Stored, Value};
+use ottersail_consensus::{Change, Guard, Key, MemberId, Outcome, StoredState, Value};
 use ottersail_leases::{Answer, Bucket, BucketNo, Holder, Needs, Renew, Renewals, Seat, Slot, Terms};
 
 /// The leases stand in the way of slots that would be given to another too early, and what a councillor sees in
@@ -14,9 +15,9 @@
 struct Leases<'a>(Option<&'a Renewals>, Option<&'a Releases>);
 
 impl Guard for Leases<'_> {
-    fn allows(&self, now: Ms, key: Key, held: &Stored, to: &Value) -> bool {
+    fn allows(&self, now: Ms, key: Key, held: &StoredState, to: &Value) -> bool {
         let no = match key {
-            Key::Head => return true,
+            Key::Founding => return true,
             Key::Slots(no) => no,
             Key::Order(_) => return allows(now, self.1, key, held, to),
         };
@@ -31,7 +32,7 @@
         let guard = Leases(self.held.as_ref().map(|it| &it.renewals), self.releases.as_ref());
         match input {
             Input::Bell => {
-                self.seat.bell(now, &guard, wants);
+                self.seat.on_timer(now, &guard, wants);
                 if let Some(held) = &mut self.held {
                     held.holder.bell(now, wants);
                 }
@@ -39,7 +40,7 @@
                     it.bell(now, wants);
                 }
             }
-            Input::Heard(from, Post::Council(it)) => self.seat.message(now, from, &it, &guard, wants),
+            Input::Heard(from, Post::Council(it)) => self.seat.on_message(now, from, &it, &guard, wants),
             Input::Heard(from, Post::Renew(it)) => self.renew(now, from, &it, wants),
             Input::Heard(from, Post::Renewed(it)) => {
                 if let Some(held) = &mut self.held {
@@ -52,7 +53,7 @@
                     held.renewals.release(now, from, &it);
                 }
             }
-            Input::Kept(token) => self.seat.kept(now, token, &guard, wants),
+            Input::Kept(token) => self.seat.on_persisted(now, token, &guard, wants),
             Input::Chosen(key, value) => self.chosen(now, key, &value, wants),
             Input::Answered(number, outcome) => self.answered(now, number, outcome, wants),
             Input::Read(no) => self.ask(now, Ask::Read(no), Change::Read, wants),
@@ -69,12 +70,12 @@
         let guard = Leases(self.held.as_ref().map(|it| &it.renewals), self.releases.as_ref());
         self.number += 1;
         self.asked.insert(self.number, (what, now));
-        self.seat.ask(now, self.number, (what.key(), change), &guard, wants);
+        self.seat.submit(now, self.number, (what.key(), change), &guard, wants);
     }
 
     /// Only a councillor that takes part answers: another's word would count towards a majority.
     fn renew(&mut self, now: Ms, from: MemberId, ask: &Renew, wants: &mut Wants) {
-        let (Some(seat), Some(held)) = (self.seat.sound(), &mut self.held) else { return };
+        let (Some(seat), Some(held)) = (self.seat.participating_councillor(), &mut self.held) else { return };
         let registers = &seat.acceptor().stored().registers;
         let terms = &held.terms;
         let accepted = |slot: Slot| {
@@ -91,7 +92,7 @@
     fn chosen(&mut self, now: Ms, key: Key, value: &Value, wants: &mut Wants) {
         lines::chosen(key, value);
         match (key, &mut self.held) {
-            (Key::Head, _) => self.founded(now, value),
+            (Key::Founding, _) => self.founded(now, value),
             (Key::Order(_), _) => self.ordered(now, key, value, wants),
             (Key::Slots(no), Some(held)) => {
                 if let Err(trouble) = held.holder.learned(BucketNo(no), value.revision, &value.body, wants) {
@@ -131,9 +132,9 @@
         self.tally.answered(ask, &outcome, now - asked);
         match ask {
             Ask::Head => match outcome {
-                Outcome::Done(value) | Outcome::Now(Some(value)) => self.founded(now, &value),
-                Outcome::Now(None) => self.ask(now, Ask::Head, set(0, self.own.bytes()), wants),
-                Outcome::Unanswered | Outcome::Turned => {}
+                Outcome::Chosen(value) | Outcome::Current(Some(value)) => self.founded(now, &value),
+                Outcome::Current(None) => self.ask(now, Ask::Head, set(0, self.own.bytes()), wants),
+                Outcome::Unanswered | Outcome::Rejected => {}
             },
             Ask::Order(key) => self.put(now, key, &outcome, wants),
             Ask::Read(no) | Ask::Propose(no) => {
--- a/daemon/src/fleet/council/post.rs
+++ b/daemon/src/fleet/council/post.rs
@@ -3,7 +3,7 @@
 use ottersail_consensus::Message;
 use ottersail_leases::{Release, Renew, Renewed};
 use ottersail_membership::{Life, MemberId, Topic};
-use ottersail_rollout::Stand;
+use ottersail_rollout::MemberStatus;
 use serde::de::DeserializeOwned;
 
 /// Topic 0 is the door's.
@@ -22,7 +22,7 @@
     Renew(Renew),
     Renewed(Renewed),
     Release(Release),
-    Stand(Life, Stand),
+    Stand(Life, MemberStatus),
 }
 
 /// Bytes for another member.
--- a/daemon/src/fleet/council/release_figures.rs
+++ b/daemon/src/fleet/council/release_figures.rs
@@ -3,7 +3,7 @@
 use super::figures::gauge;
 use super::releases::Releases;
 use ottersail::time::Ms;
-use ottersail_rollout::{State, View, Wait};
+use ottersail_rollout::{ReleaseView, State, WaitReason};
 use prometheus_client::metrics::family::Family;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
@@ -14,12 +14,12 @@
     /// Nothing without an order, nor at who is no councillor.
     pub fn register(&self, now: Ms, registry: &mut Registry) {
         let Some(view) = self.conductor.as_ref().and_then(|it| it.view(now)) else { return };
-        let View { serial, state, step, steps, through, meant, whole, fleet, out, ended, .. } = view;
+        let ReleaseView { serial, state, step, steps, through, meant, whole, fleet, out, ended, .. } = view;
         let state = match state {
             State::Go => 0,
             State::Halt => 1,
             State::Back => 2,
-            State::Stopped => 3,
+            State::HaltedByEvidence => 3,
         };
         let all = [
             ("release_serial", "Serial of the order that stands", serial.0),
@@ -36,9 +36,9 @@
         let permits: Family<Of, Gauge> = Family::default();
         for it in out {
             let waits = match it.waits {
-                Wait::Going => "to go",
-                Wait::Gone => "to come back",
-                Wait::Settling => "to be whole",
+                WaitReason::NotLeft => "to go",
+                WaitReason::Gone => "to come back",
+                WaitReason::Settling => "to be whole",
             };
             let of = vec![("name", it.name.to_string()), ("waits", waits.to_string())];
             permits.get_or_create(&of).set(((now - it.since).0 / 1e3) as i64);
--- /dev/null
+++ b/daemon/src/fleet/council/release_guard.rs
@@ -0,0 +1,33 @@
+//! The guard on the registers of releases: what this councillor's acceptor lets into them.
+
+use super::lines;
+use super::releases::{Releases, BOOK, ORDER};
+use ottersail::time::Ms;
+use ottersail_consensus::{Key, StoredState, Value};
+use ottersail_rollout::{follows, Guards, Order, PermitTable};
+
+/// Whether this councillor lets that value into a register of releases. Without `[releases]` it can judge none,
+/// and lets none in.
+pub(super) fn allows(now: Ms, releases: Option<&Releases>, key: Key, held: &StoredState, to: &Value) -> bool {
+    let Some(conductor) = releases.and_then(|it| it.conductor.as_ref()) else { return false };
+    let ordered = held.accepted(ORDER).and_then(|it| Some((it.revision, Order::decode(&it.body)?)));
+    let verdict = match key {
+        ORDER => {
+            Order::decode(&to.body).map(|to| follows(ordered.as_ref().map(|it| &it.1), &to, Guards::all()))
+        }
+        BOOK => {
+            let from = held.accepted(BOOK).and_then(|it| PermitTable::decode(&it.body));
+            let order = ordered.as_ref().map(|it| (it.0, &it.1));
+            PermitTable::decode(&to.body).map(|to| conductor.allows(now, order, from.as_ref(), &to))
+        }
+        _ => None,
+    };
+    match verdict {
+        Some(Ok(())) => true,
+        Some(Err(refusal)) => {
+            lines::kept_out(key, &refusal);
+            false
+        }
+        None => false,
+    }
+}
--- a/daemon/src/fleet/council/releases.rs
+++ b/daemon/src/fleet/council/releases.rs
@@ -6,11 +6,11 @@
 use super::wants::Wants;
 use super::{lines, Council};
 use ottersail::time::Ms;
-use ottersail_consensus::{Key, MemberId, Message, Outcome, Stored, Value};
+use ottersail_consensus::{Key, MemberId, Message, Outcome, Value};
 use ottersail_membership::{Known, Life, State};
 use ottersail_rollout::{
-    answered, follows, given, Answered, Book, Conductor, Counts, Given, Going, Guards, Holder, Name, Order,
-    Outcome as Proposed, Presence, Seen, Stand,
+    answered, given, Answered, Coordinator, Given, MemberStatus, Name, Order, Outcome as Proposed,
+    PermitHolder, PermitTable, Presence, RosterEntry, UsablePermit, ViewingCounts,
 };
 use std::collections::BTreeMap;
 
@@ -19,9 +19,9 @@
 pub(super) const BOOK: Key = Key::Order(2);
 
 pub(super) struct Releases {
-    pub holder: Holder,
+    pub holder: PermitHolder,
     /// A councillor's.
-    pub conductor: Option<Conductor>,
+    pub conductor: Option<Coordinator>,
     /// The order of this manager's own file, until it stands or cannot, and the revision it was put over.
     pub file: Option<(u64, Order)>,
     /// What stands, as far as it is known here.
@@ -35,12 +35,13 @@
         version: Name,
         (councillors, period): (&[MemberId], Ms),
     ) -> Releases {
-        let conductor = councillors.contains(&me.0).then(|| Conductor::born(now, me.0, councillors, period));
-        Releases { holder: Holder::born(now, me, version, period), conductor, file: None, order: None }
+        let conductor =
+            councillors.contains(&me.0).then(|| Coordinator::born(now, me.0, councillors, period));
+        Releases { holder: PermitHolder::born(now, me, version, period), conductor, file: None, order: None }
     }
 
     pub fn bell_at(&self) -> Ms {
-        let conductor = self.conductor.as_ref().map_or(Ms(f64::INFINITY), Conductor::bell_at);
+        let conductor = self.conductor.as_ref().map_or(Ms(f64::INFINITY), Coordinator::bell_at);
         self.holder.bell_at().min(conductor)
     }
 
@@ -55,7 +56,7 @@
     fn roster<'a>(
         &mut self,
         now: Ms,
-        me: (MemberId, Seen),
+        me: (MemberId, RosterEntry),
         all: impl Iterator<Item = (&'a MemberId, &'a Known)>,
         conducts: bool,
     ) {
@@ -66,7 +67,7 @@
                 State::Suspect => Presence::Suspect,
                 State::Dead | State::Left => return None,
             };
-            Some(Seen {
+            Some(RosterEntry {
                 life: known.life,
                 name: Name::new(&known.name)?,
                 zone: Name::new(&known.site),
@@ -80,39 +81,13 @@
     }
 }
 
-/// Whether this councillor lets that value into a register of releases. Without `[releases]` it can judge none,
-/// and lets none in.
-pub(super) fn allows(now: Ms, releases: Option<&Releases>, key: Key, held: &Stored, to: &Value) -> bool {
-    let Some(conductor) = releases.and_then(|it| it.conductor.as_ref()) else { return false };
-    let ordered = held.accepted(ORDER).and_then(|it| Some((it.revision, Order::read(&it.body)?)));
-    let verdict = match key {
-        ORDER => {
-            Order::read(&to.body).map(|to| follows(ordered.as_ref().map(|it| &it.1), &to, Guards::all()))
-        }
-        BOOK => {
-            let from = held.accepted(BOOK).and_then(|it| Book::read(&it.body));
-            let order = ordered.as_ref().map(|it| (it.0, &it.1));
-            Book::read(&to.body).map(|to| conductor.allows(now, order, from.as_ref(), &to))
-        }
-        _ => None,
-    };
-    match verdict {
-        Some(Ok(())) => true,
-        Some(Err(refusal)) => {
-            lines::kept_out(key, &refusal);
-            false
-        }
-        None => false,
-    }
-}
-
 impl Council {
     /// A register of releases has a newer value.
     pub(super) fn ordered(&mut self, now: Ms, key: Key, value: &Value, wants: &mut Wants) {
         let Some(it) = &mut self.releases else { return };
         match key {
             ORDER => {
-                let Some(order) = Order::read(&value.body) else { return lines::unread(key) };
+                let Some(order) = Order::decode(&value.body) else { return lines::unread(key) };
                 if it.order.as_ref().is_some_and(|it| it.0 >= value.revision) {
                     return;
                 }
@@ -124,7 +99,7 @@
                 it.order = Some((value.revision, order));
             }
             BOOK => {
-                let Some(book) = Book::read(&value.body) else { return lines::unread(key) };
+                let Some(book) = PermitTable::decode(&value.body) else { return lines::unread(key) };
                 it.holder.booked(now, value.revision, &book);
                 let Some(conductor) = &mut it.conductor else { return };
                 conductor.booked(now, value.revision, &book);
@@ -138,7 +113,7 @@
         }
     }
 
-    pub(super) fn stood(&mut self, now: Ms, from: MemberId, life: Life, stand: &Stand) {
+    pub(super) fn stood(&mut self, now: Ms, from: MemberId, life: Life, stand: &MemberStatus) {
         if let Some(it) = self.releases.as_mut().and_then(|it| it.conductor.as_mut()) {
             it.stand(now, from, life, stand);
         }
@@ -147,16 +122,16 @@
     /// What came of a change of a register of releases.
     pub(super) fn put(&mut self, now: Ms, key: Key, outcome: &Outcome, wants: &mut Wants) {
         let stands = match outcome {
-            Outcome::Done(it) | Outcome::Now(Some(it)) => Some(it),
+            Outcome::Chosen(it) | Outcome::Current(Some(it)) => Some(it),
             _ => None,
         };
         if let (BOOK, Some(conductor)) = (key, self.releases.as_mut().and_then(|it| it.conductor.as_mut())) {
-            let read = stands.and_then(|it| Some((it.revision, Book::read(&it.body)?)));
+            let read = stands.and_then(|it| Some((it.revision, PermitTable::decode(&it.body)?)));
             conductor.answered(
                 now,
                 match (outcome, read) {
-                    (Outcome::Done(it), _) => Proposed::Done { revision: it.revision },
-                    (Outcome::Now(_), Some((revision, book))) => Proposed::Other { revision, book },
+                    (Outcome::Chosen(it), _) => Proposed::Done { revision: it.revision },
+                    (Outcome::Current(_), Some((revision, book))) => Proposed::Other { revision, book },
                     _ => Proposed::Unknown,
                 },
             );
@@ -173,7 +148,7 @@
     fn file_answered(&mut self, outcome: &Outcome) {
         let Some(it) = &mut self.releases else { return };
         let Some((asked, file)) = &it.file else { return };
-        if !matches!(outcome, Outcome::Done(_) | Outcome::Now(_)) {
+        if !matches!(outcome, Outcome::Chosen(_) | Outcome::Current(_)) {
             // No majority, or kept out: it is put again at the next look.
             return;
         }
@@ -192,19 +167,23 @@
         all: impl Iterator<Item = (&'a MemberId, &'a Known)>,
         wants: &mut Wants,
     ) {
-        let conducts = self.seat.follower().preferred() == Some(self.me.0) && self.seat.sound().is_some();
-        if let (Some(seat), Some(it)) =
-            (self.seat.sound(), self.releases.as_mut().and_then(|it| it.conductor.as_mut()))
-        {
+        let conducts = self.seat.follower().preferred() == Some(self.me.0)
+            && self.seat.participating_councillor().is_some();
+        if let (Some(seat), Some(it)) = (
+            self.seat.participating_councillor(),
+            self.releases.as_mut().and_then(|it| it.conductor.as_mut()),
+        ) {
             let held = seat.acceptor().stored().accepted(BOOK);
-            if let Some((revision, book)) = held.and_then(|it| Some((it.revision, Book::read(&it.body)?))) {
+            if let Some((revision, book)) =
+                held.and_then(|it| Some((it.revision, PermitTable::decode(&it.body)?)))
+            {
                 it.accepted(now, revision, &book);
             }
         }
         let asked = self.asked.values().any(|it| it.0 == Ask::Order(ORDER));
         let (name, zone) = &self.home;
         let (Some(it), Some(name)) = (&mut self.releases, Name::new(name)) else { return };
-        let me = Seen { life: self.me.1, name, zone: Name::new(zone), state: Presence::Alive };
+        let me = RosterEntry { life: self.me.1, name, zone: Name::new(zone), state: Presence::Alive };
         it.roster(now, (self.me.0, me), all, conducts);
         let Some((_, file)) = it.file.clone().filter(|_| !asked) else { return };
         match given(it.order.as_ref().map(|it| (it.0, &it.1)), &file) {
@@ -212,18 +191,18 @@
                 if lifts {
                     lines::file_lifts(&file);
                 }
-                let change = set(if_revision, file.bytes());
+                let change = set(if_revision, file.encode());
                 it.file = Some((if_revision, file));
                 return self.ask(now, Ask::Order(ORDER), change, wants);
             }
-            Given::Same { stopped } => lines::file_same(&file, stopped),
+            Given::Same { halted } => lines::file_same(&file, halted),
             Given::Not(why) => lines::file_held(&why),
         }
         it.file = None;
     }
 
     /// Whether this manager takes viewings with all that it needs, and how they ended.
-    pub fn stands(&mut self, now: Ms, whole: bool, counts: Counts) {
+    pub fn stands(&mut self, now: Ms, whole: bool, counts: ViewingCounts) {
         if let Some(it) = &mut self.releases {
             it.holder.whole(now, whole);
             it.holder.counts(now, counts);
@@ -231,12 +210,12 @@
     }
 
     /// A permit to use.
-    pub fn wants_out(&self, now: Ms) -> Option<Going> {
+    pub fn wants_out(&self, now: Ms) -> Option<UsablePermit> {
         self.releases.as_ref()?.holder.wants_out(now)
     }
 
     /// Asked once nothing more is taken.
-    pub fn still_in_time(&mut self, now: Ms, going: &Going) -> bool {
+    pub fn still_in_time(&mut self, now: Ms, going: &UsablePermit) -> bool {
         self.releases.as_mut().is_some_and(|it| it.holder.still_in_time(now, going))
     }
 
--- a/daemon/src/fleet/council/seat.rs
+++ b/daemon/src/fleet/council/seat.rs
@@ -4,7 +4,7 @@
 use super::wants::Wants;
 use ottersail::time::Ms;
 use ottersail_consensus::{
-    Change, Councillor, Follower, Guard, Key, MemberId, Message, Stored, Terms, Token,
+    Change, CouncilConfig, Councillor, Follower, Guard, Key, MemberId, Message, StoredState, Token,
 };
 use ottersail_register::Store;
 use std::collections::BTreeSet;
@@ -21,13 +21,17 @@
 }
 
 impl Seat {
-    pub fn born(now: Ms, terms: &Terms, opened: Option<(Store, Stored)>) -> (Seat, Option<Keeper>) {
-        let follower = || Kind::Follower(Box::new(Follower::born(now, terms.clone())));
+    pub fn born(
+        now: Ms,
+        config: &CouncilConfig,
+        opened: Option<(Store, StoredState)>,
+    ) -> (Seat, Option<Keeper>) {
+        let follower = || Kind::Follower(Box::new(Follower::new(now, config.clone())));
         let (kind, keeper) = match opened {
             None => (follower(), None),
             Some((store, stored)) => match Keeper::start(store) {
                 Ok(keeper) => {
-                    let councillor = Councillor::born(now, terms.clone(), stored);
+                    let councillor = Councillor::new(now, config.clone(), stored);
                     (Kind::Councillor(Box::new(councillor)), Some(keeper))
                 }
                 Err(trouble) => {
@@ -40,8 +44,8 @@
     }
 
     /// From here on a follower: nothing more is promised, accepted or renewed in this life.
-    pub fn abstain(&mut self, now: Ms, terms: &Terms) {
-        self.kind = Kind::Follower(Box::new(Follower::born(now, terms.clone())));
+    pub fn abstain(&mut self, now: Ms, config: &CouncilConfig) {
+        self.kind = Kind::Follower(Box::new(Follower::new(now, config.clone())));
         self.told = None;
     }
 
@@ -53,9 +57,9 @@
     }
 
     /// A councillor's machine, if it takes part.
-    pub fn sound(&self) -> Option<&Councillor> {
+    pub fn participating_councillor(&self) -> Option<&Councillor> {
         match &self.kind {
-            Kind::Councillor(it) if it.sound() => Some(it),
+            Kind::Councillor(it) if it.participates() => Some(it),
             _ => None,
         }
     }
@@ -63,7 +67,7 @@
     /// Whether a councillor takes part, where that is other than it was at the last look.
     pub fn turned(&mut self) -> Option<bool> {
         let Kind::Councillor(it) = &self.kind else { return None };
-        let is = it.sound();
+        let is = it.participates();
         (self.told.replace(is) != Some(is)).then_some(is)
     }
 
@@ -71,34 +75,34 @@
         matches!(self.kind, Kind::Councillor(_))
     }
 
-    pub fn bell_at(&self) -> Ms {
+    pub fn next_timer(&self) -> Ms {
         match &self.kind {
-            Kind::Councillor(it) => it.bell_at(),
-            Kind::Follower(it) => it.bell_at(),
+            Kind::Councillor(it) => it.next_timer(),
+            Kind::Follower(it) => it.next_timer(),
         }
     }
 
-    pub fn bell(&mut self, now: Ms, guard: &dyn Guard, out: &mut Wants) {
+    pub fn on_timer(&mut self, now: Ms, guard: &dyn Guard, out: &mut Wants) {
         match &mut self.kind {
-            Kind::Councillor(it) => it.bell(now, guard, out),
-            Kind::Follower(it) => it.bell(now, out),
+            Kind::Councillor(it) => it.on_timer(now, guard, out),
+            Kind::Follower(it) => it.on_timer(now, out),
         }
     }
 
-    pub fn message(&mut self, now: Ms, from: MemberId, it: &Message, guard: &dyn Guard, out: &mut Wants) {
+    pub fn on_message(&mut self, now: Ms, from: MemberId, it: &Message, guard: &dyn Guard, out: &mut Wants) {
         match &mut self.kind {
-            Kind::Councillor(seat) => seat.message(now, from, it, guard, out),
-            Kind::Follower(seat) => seat.message(now, from, it, out),
+            Kind::Councillor(seat) => seat.on_message(now, from, it, guard, out),
+            Kind::Follower(seat) => seat.on_message(now, from, it, out),
         }
     }
 
-    pub fn kept(&mut self, now: Ms, token: Token, guard: &dyn Guard, out: &mut Wants) {
+    pub fn on_persisted(&mut self, now: Ms, token: Token, guard: &dyn Guard, out: &mut Wants) {
         if let Kind::Councillor(it) = &mut self.kind {
-            it.kept(now, token, guard, out);
+            it.on_persisted(now, token, guard, out);
         }
     }
 
-    pub fn ask(
+    pub fn submit(
         &mut self,
         now: Ms,
         number: u64,
@@ -107,22 +111,22 @@
         out: &mut Wants,
     ) {
         match &mut self.kind {
-            Kind::Councillor(it) => it.ask(now, number, key, change, guard, out),
-            Kind::Follower(it) => it.ask(now, number, key, change, out),
+            Kind::Councillor(it) => it.submit(now, number, key, change, guard, out),
+            Kind::Follower(it) => it.submit(now, number, key, change, out),
         }
     }
 
-    pub fn living(&mut self, living: &BTreeSet<MemberId>) {
+    pub fn set_living(&mut self, living: &BTreeSet<MemberId>) {
         match &mut self.kind {
-            Kind::Councillor(it) => it.living(living),
-            Kind::Follower(it) => it.living(living),
+            Kind::Councillor(it) => it.set_living(living),
+            Kind::Follower(it) => it.set_living(living),
         }
     }
 
-    pub fn heard(&mut self, now: Ms, from: MemberId, rider: &[u8], out: &mut Wants) {
+    pub fn on_digest(&mut self, now: Ms, from: MemberId, rider: &[u8], out: &mut Wants) {
         match &mut self.kind {
-            Kind::Councillor(it) => it.heard(now, from, rider, out),
-            Kind::Follower(it) => it.heard(now, from, rider, out),
+            Kind::Councillor(it) => it.on_digest(now, from, rider, out),
+            Kind::Follower(it) => it.on_digest(now, from, rider, out),
         }
     }
 }
@@ -130,29 +134,31 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use ottersail_consensus::{Ballot, Life, Memory, Open};
+    use ottersail_consensus::{AllowAll, Ballot, Life, StoreGeneration};
 
     /// Symptom without that: a councillor goes on to promise what no disk holds.
     #[test]
     fn one_that_abstains_promises_nothing_more() {
         let folder = tempfile::tempdir().unwrap();
-        let (store, stored) = Store::open(&folder.path().join("council"), Memory(5)).unwrap();
+        let (store, stored) = Store::open(&folder.path().join("council"), StoreGeneration(5)).unwrap();
         let [me, other, third] = [1, 2, 3].map(MemberId);
-        let terms = Terms::new(me, Life(4), &[me, other, third], 1);
-        let opened = Some((store, Stored { sound: true, ..stored }));
-        let (mut seat, keeper) = Seat::born(Ms(0.0), &terms, opened);
+        let config = CouncilConfig::new(me, Life(4), &[me, other, third], 1);
+        let opened = Some((store, StoredState { participating: true, ..stored }));
+        let (mut seat, keeper) = Seat::born(Ms(0.0), &config, opened);
         assert!(keeper.is_some() && seat.is_councillor());
         assert_eq!((seat.turned(), seat.turned()), (Some(true), None), "told once");
         let ballot = Ballot { number: 1, proposer: other, life: Life(9) };
-        let prepare = Message::Prepare { key: Key::Head, ballot };
+        let prepare = Message::Prepare { key: Key::Founding, ballot };
         let kept = |seat: &mut Seat| {
             let mut wants = Wants::default();
-            seat.message(Ms(1.0), other, &prepare, &Open, &mut wants);
+            seat.on_message(Ms(1.0), other, &prepare, &AllowAll, &mut wants);
             (wants.keeps.len(), wants.posts.len())
         };
         assert_eq!(kept(&mut seat), (1, 0), "a promise waits for the disk");
-        seat.abstain(Ms(2.0), &terms);
+        seat.abstain(Ms(2.0), &config);
         assert_eq!(kept(&mut seat), (0, 0));
-        assert!(seat.sound().is_none() && !seat.is_councillor() && seat.turned().is_none());
+        assert!(
+            seat.participating_councillor().is_none() && !seat.is_councillor() && seat.turned().is_none()
+        );
     }
 }
--- a/daemon/src/fleet/council/wants.rs
+++ b/daemon/src/fleet/council/wants.rs
@@ -6,7 +6,7 @@
 use ottersail_consensus::{Key, Message, Outcome, Record, Token, Value};
 use ottersail_leases::{BucketNo, Note, Part, Release, Renew};
 use ottersail_membership::MemberId;
-use ottersail_rollout::{Book, Note as Told, Order, Stand};
+use ottersail_rollout::{Event, MemberStatus, Order, PermitTable};
 
 /// What a machine is told next.
 #[derive(Clone, Debug)]
@@ -28,8 +28,8 @@
     pub inputs: Vec<Input>,
     pub notes: Vec<Note>,
     /// To every councillor.
-    pub stands: Vec<Stand>,
-    pub told: Vec<Told>,
+    pub stands: Vec<MemberStatus>,
+    pub told: Vec<Event>,
     pub shrunk: bool,
 }
 
@@ -39,12 +39,12 @@
     }
 }
 
-impl ottersail_consensus::Wishes for Wants {
+impl ottersail_consensus::Effects for Wants {
     fn send(&mut self, to: MemberId, message: &Message) {
         self.posts.push((to, Post::Council(message.clone())));
     }
 
-    fn keep(&mut self, token: Token, records: &[Record]) {
+    fn persist(&mut self, token: Token, records: &[Record]) {
         self.keeps.push(Wish::new(token, records));
     }
 
@@ -84,20 +84,20 @@
     }
 }
 
-impl ottersail_rollout::Wishes for Wants {
-    fn propose(&mut self, if_revision: u64, book: &Book) {
-        self.inputs.push(Input::Put(BOOK, if_revision, book.bytes()));
+impl ottersail_rollout::Effects for Wants {
+    fn propose(&mut self, if_revision: u64, permits: &PermitTable) {
+        self.inputs.push(Input::Put(BOOK, if_revision, permits.encode()));
     }
 
     fn halt(&mut self, if_revision: u64, order: &Order) {
-        self.inputs.push(Input::Put(ORDER, if_revision, order.bytes()));
+        self.inputs.push(Input::Put(ORDER, if_revision, order.encode()));
     }
 
-    fn stand(&mut self, stand: &Stand) {
+    fn stand(&mut self, stand: &MemberStatus) {
         self.stands.push(stand.clone());
     }
 
-    fn note(&mut self, note: Told) {
+    fn note(&mut self, note: Event) {
         self.told.push(note);
     }
 }
--- a/daemon/src/fleet/door.rs
+++ b/daemon/src/fleet/door.rs
@@ -111,7 +111,7 @@
 }
 
 /// The header by which a member says who it is.
-pub const MEMBER: &str = "ottersail-member";
+pub const MEMBER_HEADER: &str = "ottersail-member";
 /// An answer's head, as far as it is read.
 const MOST_HEAD: usize = 2_048;
 
@@ -119,7 +119,7 @@
 fn is_of(head: &[u8], id: MemberId) -> bool {
     let head = String::from_utf8_lossy(head);
     let named = |line: &str| {
-        let told = line.split_once(':').filter(|it| it.0.eq_ignore_ascii_case(MEMBER));
+        let told = line.split_once(':').filter(|it| it.0.eq_ignore_ascii_case(MEMBER_HEADER));
         told.is_some_and(|it| it.1.trim() == id.to_string())
     };
     head.starts_with("HTTP/") && head.lines().any(named)
--- a/daemon/src/fleet/figures.rs
+++ b/daemon/src/fleet/figures.rs
@@ -55,7 +55,7 @@
 
 impl Fleet {
     /// Puts the members' figures beside the others.
-    pub fn register(&self, registry: &mut Registry) {
+    pub fn register_metrics(&self, registry: &mut Registry) {
         self.register_council(registry);
         let members = self.members.borrow();
         let (by_state, by_hearing, each): (Family<Of, Gauge>, Family<Of, Gauge>, Family<Of, Gauge>) =
--- a/daemon/src/metrics.rs
+++ b/daemon/src/metrics.rs
@@ -68,7 +68,7 @@
 ) -> String {
     let mut registry = Registry::with_prefix("ottersail");
     if let Some(fleet) = fleet {
-        fleet.register(&mut registry);
+        fleet.register_metrics(&mut registry);
     }
     let Counts {
         asked,
--- a/daemon/src/owner.rs
+++ b/daemon/src/owner.rs
@@ -107,7 +107,7 @@
             self.slots.borrow_mut().insert(*ask, (slot, trace));
         }
         if let (Told::Asked { .. }, Some(fleet)) = (&told, self.fleet.get()) {
-            fleet.arrived();
+            fleet.viewing_requested();
         }
         if let Told::Left { ask } = &told {
             self.slots.borrow_mut().remove(ask);
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -47,7 +47,7 @@
     let keys = std::fs::read_to_string(&manager.keys).map_err(|it| wrong(it.to_string()))?;
     let keys = Keys::read(&keys).map_err(|it| wrong(it.to_string()))?;
     manager.members.as_ref().map(member_keys).transpose()?;
-    fleet::terms(&manager, Life(0))?;
+    fleet::member_terms(&manager, Life(0))?;
     Ok((text, manager, keys))
 }
 
--- a/daemon/src/run/release.rs
+++ b/daemon/src/run/release.rs
@@ -22,7 +22,7 @@
     match load_orders(file) {
         Ok(orders) => {
             if let Some(order) = orders.release {
-                fleet.order(order);
+                fleet.submit_order(order);
             }
             if orders.drain.is_some() {
                 error!(target: "releases", "[drain] is not carried out by this version; take it out of the file");
@@ -39,7 +39,7 @@
 /// Comes back with the version once a permit is used; never without releases.
 pub(super) async fn goes_out(owner: &Rc<Owner>) -> Option<Name> {
     match owner.fleet.get() {
-        Some(fleet) => fleet.goes_out().await,
+        Some(fleet) => fleet.departure().await,
         None => std::future::pending().await,
     }
 }
--- a/daemon/src/service.rs
+++ b/daemon/src/service.rs
@@ -1,6 +1,6 @@
 //! What players and operators may ask over HTTP.
 
-use crate::fleet::MEMBER;
+use crate::fleet::MEMBER_HEADER;
 use crate::worker::Worker;
 use form_urlencoded::parse;
 use hyper::body::Incoming;
@@ -63,7 +63,7 @@
         };
         let member = shared.reach.member.and_then(|it| HeaderValue::from_str(&it.to_string()).ok());
         if let Some(member) = member {
-            response.headers_mut().insert(MEMBER, member);
+            response.headers_mut().insert(MEMBER_HEADER, member);
         }
         response
     }
--- a/daemon/src/settings/orders.rs
+++ b/daemon/src/settings/orders.rs
@@ -7,7 +7,7 @@
 use super::error::SettingsError;
 use super::sheet::{Section, Sheet};
 use super::values::{name, names, part_or, percent, steps, who, zones, NAMES};
-use ottersail_rollout::{Bounds, Fault, Halts, Name, Order, Serial, State, Step, Who};
+use ottersail_rollout::{Bounds, HaltPolicy, Name, Order, OrderError, Scope, Serial, State, Step};
 use std::io::Read;
 use std::path::Path;
 
@@ -107,9 +107,9 @@
     let order = Order {
         serial: Serial(it.whole("serial", 1..=MOST_SERIAL)),
         name: named.unwrap_or_default(),
-        who: who(it),
+        scope: who(it),
         version,
-        before: back,
+        previous_version: back,
         steps: steps(it),
         settle_ms: it.whole("settle-ms", 0..=u32::MAX.into()) as u32,
         use_ms: it.whole_or("use-ms", 0..=u32::MAX.into(), 10_000) as u32,
@@ -120,7 +120,7 @@
             least_holders,
             headroom,
         },
-        halts: Halts {
+        halt_policy: HaltPolicy {
             // What is seen of viewings is told by manager, and says nothing of a server that was drained.
             by_evidence: it.word_or("halt-by", HALTS, managers),
             alarms,
@@ -140,17 +140,17 @@
 }
 
 /// The key that a fault is about; none if it is about the order as a whole.
-fn key(fault: &Fault, order: &Order) -> Option<&'static str> {
+fn key(fault: &OrderError, order: &Order) -> Option<&'static str> {
     Some(match fault {
-        Fault::NoSteps | Fault::Steps(_) => "steps",
-        Fault::Zones(_) | Fault::Zone { .. } | Fault::Sum { .. } => "zones",
-        Fault::Struck(_) => "strike",
-        Fault::NobodyOut | Fault::AllOut { .. } => "most-out",
-        Fault::Use(_) => "use-ms",
-        Fault::Settle(_) => "settle-ms",
-        Fault::Part(it) if order.who == Who::Part(*it) => "who",
-        Fault::Part(_) => "steps",
-        Fault::Long(_) => return None,
+        OrderError::NoSteps | OrderError::TooManySteps(_) => "steps",
+        OrderError::TooManyZones(_) | OrderError::ZoneBound { .. } | OrderError::ZoneSum { .. } => "zones",
+        OrderError::TooManyStruck(_) => "strike",
+        OrderError::MostOutZero | OrderError::MostOutNotBelowFleet { .. } => "most-out",
+        OrderError::UseTime(_) => "use-ms",
+        OrderError::SettleTime(_) => "settle-ms",
+        OrderError::PerMille(it) if order.scope == Scope::PerMille(*it) => "who",
+        OrderError::PerMille(_) => "steps",
+        OrderError::TooLong(_) => return None,
     })
 }
 
@@ -163,25 +163,25 @@
 
 fn written(kind: &str, it: &Order) -> String {
     let join = |all: &[Name]| all.iter().map(Name::to_string).collect::<Vec<_>>().join(", ");
-    let who = match &it.who {
-        Who::All => "all".to_string(),
-        Who::Zone(zone) => format!("zone {zone}"),
-        Who::Named(names) => format!("name {}", join(names)),
-        Who::Part(part) => format!("part {}", percent(*part, THOUSAND)),
+    let who = match &it.scope {
+        Scope::All => "all".to_string(),
+        Scope::Zone(zone) => format!("zone {zone}"),
+        Scope::Named(names) => format!("name {}", join(names)),
+        Scope::PerMille(part) => format!("part {}", percent(*part, THOUSAND)),
     };
     let step = |it: &Step| match it {
         Step::Count(count) => count.to_string(),
-        Step::Part(part) => percent(*part, THOUSAND),
+        Step::PerMille(part) => percent(*part, THOUSAND),
     };
     let steps = it.steps.iter().map(step).collect::<Vec<_>>().join(", ");
     let Bounds { fleet, most_out, zones, least_holders, headroom } = &it.bounds;
     let zone = |(name, (has, most)): (&Name, &(u16, u16))| format!("{name} {has} {most}");
     let zones = zones.iter().map(zone).collect::<Vec<_>>().join(", ");
-    let state = if it.state == State::Stopped { State::Go } else { it.state };
+    let state = if it.state == State::HaltedByEvidence { State::Go } else { it.state };
     let state = STATES.iter().find(|it| it.1 == state).map_or("halt", |it| it.0);
-    let halts = if it.halts.by_evidence { "evidence" } else { "order" };
+    let halts = if it.halt_policy.by_evidence { "evidence" } else { "order" };
     let apart = match kind {
-        "release" => format!("version = {}\nbefore = {}\n", it.version, it.before),
+        "release" => format!("version = {}\nbefore = {}\n", it.version, it.previous_version),
         _ => format!("least-holders = {least_holders}\nheadroom = {}\n", percent(*headroom, THOUSAND)),
     };
     format!(
@@ -192,8 +192,8 @@
         it.serial.0,
         it.settle_ms,
         it.use_ms,
-        percent(it.halts.alarms, TEN_THOUSAND),
-        it.halts.points,
+        percent(it.halt_policy.alarms, TEN_THOUSAND),
+        it.halt_policy.points,
         join(&it.struck)
     )
 }
--- a/daemon/src/settings/orders/tests.rs
+++ b/daemon/src/settings/orders/tests.rs
@@ -23,24 +23,25 @@
 fn all_of_it_is_read() {
     let Orders { release, drain } = read(FULL).unwrap();
     let zones = BTreeMap::from([(named("east"), (20, 2)), (named("west"), (20, 2))]);
-    let steps = [Step::Count(1), Step::Count(5), Step::Part(50), Step::Part(250), Step::Part(1_000)];
+    let steps =
+        [Step::Count(1), Step::Count(5), Step::PerMille(50), Step::PerMille(250), Step::PerMille(1_000)];
     let expected = Order {
         serial: Serial(12),
         name: named("spring"),
-        who: Who::Zone(named("east")),
+        scope: Scope::Zone(named("east")),
         version: named("2.0"),
-        before: named("1.9"),
+        previous_version: named("1.9"),
         steps: steps.to_vec(),
         settle_ms: 30_000,
         use_ms: 5_000,
         bounds: Bounds { fleet: 40, most_out: 3, zones, least_holders: 0, headroom: 0 },
-        halts: Halts { by_evidence: false, alarms: 50, points: 3 },
+        halt_policy: HaltPolicy { by_evidence: false, alarms: 50, points: 3 },
         state: State::Back,
         struck: vec![named("m-7"), named("m-9")],
     };
     assert_eq!(release, Some(expected));
     let drain = drain.unwrap();
-    assert_eq!((drain.who, drain.state), (Who::Part(125), State::Halt));
+    assert_eq!((drain.scope, drain.state), (Scope::PerMille(125), State::Halt));
     assert_eq!((drain.bounds.least_holders, drain.bounds.headroom), (2, 75));
 }
 
@@ -54,15 +55,15 @@
         (drain, release.use_ms, release.bounds.zones.len(), release.struck.len()),
         (None, 10_000, 0, 0)
     );
-    assert_eq!(release.halts, Halts { by_evidence: true, alarms: 100, points: 5 });
+    assert_eq!(release.halt_policy, HaltPolicy { by_evidence: true, alarms: 100, points: 5 });
     // In whichever order they are written it is the same order.
-    assert_eq!(release.who, Who::Named(vec![named("a"), named("b")]));
+    assert_eq!(release.scope, Scope::Named(vec![named("a"), named("b")]));
     let drain =
         "[drain a]\nserial = 1\nwho = all\nsteps = 1\nsettle-ms = 100\nfleet = 2\nmost-out = 1\nstate = go\n";
     let drain = read(drain).unwrap().drain.unwrap();
     assert_eq!((drain.bounds.least_holders, drain.bounds.headroom), (1, 200));
-    assert_eq!(drain.halts, Halts { by_evidence: false, alarms: 100, points: 5 });
-    assert_eq!((drain.version, drain.before), (Name::default(), Name::default()));
+    assert_eq!(drain.halt_policy, HaltPolicy { by_evidence: false, alarms: 100, points: 5 });
+    assert_eq!((drain.version, drain.previous_version), (Name::default(), Name::default()));
 }
 
 #[test_case(FULL.to_string(); "as it is")]
@@ -78,7 +79,7 @@
 #[test]
 fn a_halt_by_evidence_is_not_written_as_an_operators() {
     let first = read(&FULL.replace("state = back", "state = go")).unwrap();
-    let halted = ottersail_rollout::stopped(first.release.as_ref().unwrap());
+    let halted = ottersail_rollout::halted_by_evidence(first.release.as_ref().unwrap());
     assert_eq!(read(&write_orders(&Orders { release: halted, ..first.clone() })).unwrap(), first);
 }
 
--- a/daemon/src/settings/values.rs
+++ b/daemon/src/settings/values.rs
@@ -1,11 +1,11 @@
 //! Values of an orders' file: names, parts, steps, zones. What can't be read is complained of.
 
 use super::sheet::Section;
-use ottersail_rollout::{Name, Step, Who};
+use ottersail_rollout::{Name, Scope, Step};
 use std::collections::BTreeMap;
 
 pub(super) const NAMES: &str = "1 to 32 of a-z, A-Z, 0-9, ., _ and -";
-/// What `Who::Named` takes.
+/// What `Scope::Named` takes.
 const MOST_NAMED: usize = 8;
 const WHOLE: u16 = 1_000;
 
@@ -64,20 +64,20 @@
     all
 }
 
-pub(super) fn who(it: &Section) -> Who {
+pub(super) fn who(it: &Section) -> Scope {
     let text = it.text("who");
     let (kind, rest) = text.split_once(char::is_whitespace).unwrap_or((&text, ""));
     let who = match (kind, rest.trim()) {
-        ("all", "") => Some(Who::All),
-        ("zone", zone) => Name::new(zone).map(Who::Zone),
-        ("part", text) => part(text, WHOLE).map(Who::Part),
+        ("all", "") => Some(Scope::All),
+        ("zone", zone) => Name::new(zone).map(Scope::Zone),
+        ("part", text) => part(text, WHOLE).map(Scope::PerMille),
         ("name", text) if !text.is_empty() => {
             let names = names(it, "who", text);
             if names.len() > MOST_NAMED {
                 let rule = format!("{} names; {MOST_NAMED} are the most, take some out", names.len());
                 it.complain("who", rule);
             }
-            Some(Who::Named(names))
+            Some(Scope::Named(names))
         }
         _ => None,
     };
@@ -86,7 +86,7 @@
             let rule = format!("expected all, zone NAME, name A, B or part 10%, read {text:?}");
             it.complain("who", rule);
         }
-        Who::All
+        Scope::All
     })
 }
 
@@ -95,8 +95,8 @@
     let step = |text: &str| {
         let step = match text {
             "one" => Some(Step::Count(1)),
-            "all" => Some(Step::Part(WHOLE)),
-            _ if text.ends_with('%') => part(text, WHOLE).map(Step::Part),
+            "all" => Some(Step::PerMille(WHOLE)),
+            _ if text.ends_with('%') => part(text, WHOLE).map(Step::PerMille),
             _ => text.parse().ok().filter(|it| *it > 0).map(Step::Count),
         };
         if step.is_none() {
@@ -106,7 +106,7 @@
     };
     let all: Vec<Step> = listed(&text).filter_map(step).collect();
     let falls = |two: &[Step]| match (two[0], two[1]) {
-        (Step::Count(a), Step::Count(b)) | (Step::Part(a), Step::Part(b)) => a >= b,
+        (Step::Count(a), Step::Count(b)) | (Step::PerMille(a), Step::PerMille(b)) => a >= b,
         _ => false,
     };
     if all.windows(2).any(falls) {
--- a/daemon/tests/errors.rs
+++ b/daemon/tests/errors.rs
@@ -5,7 +5,7 @@
 use ottersail_daemon::rehearse::{RehearseError, Unclean};
 use ottersail_daemon::settings::error::{Complaint, SettingsError, Wrong};
 use ottersail_membership::TermsError;
-use ottersail_rollout::{Fault, Held, Name, Serial};
+use ottersail_rollout::{Name, OrderError, OrderNotPut, Serial};
 use std::io;
 use std::net::SocketAddr;
 use std::os::unix::process::ExitStatusExt;
@@ -114,25 +114,25 @@
 #[test]
 fn what_is_wrong_with_an_order() {
     let east = || Name::new("east").unwrap();
-    table!(Fault:
+    table!(OrderError:
         NoSteps {} => ["steps ="], false;
-        Steps { 0: 9 } => ["9 steps", "8"], false;
-        Zones { 0: 13 } => ["13 zones", "12"], false;
-        Struck { 0: 9 } => ["9 names", "8"], false;
-        NobodyOut {} => ["most-out of 0"], false;
-        AllOut { most: 41, fleet: 40 } => ["most-out of 41", "fleet of 40"], false;
-        Zone { zone: east(), has: 20, most: 21 } => ["zone east", "20", "most-out 21"], false;
-        Sum { zones: 39, fleet: 40 } => ["zones hold 39", "fleet 40"], false;
-        Use { 0: 5 } => ["use-ms of 5"], false;
-        Settle { 0: 5 } => ["settle-ms of 5"], false;
-        Part { 0: 1_500 } => ["1500 in a thousand"], false;
-        Long { 0: 700 } => ["700 bytes", "600"], false;
+        TooManySteps { 0: 9 } => ["9 steps", "8"], false;
+        TooManyZones { 0: 13 } => ["13 zones", "12"], false;
+        TooManyStruck { 0: 9 } => ["9 names", "8"], false;
+        MostOutZero {} => ["most-out of 0"], false;
+        MostOutNotBelowFleet { most: 41, fleet: 40 } => ["most-out of 41", "fleet of 40"], false;
+        ZoneBound { zone: east(), has: 20, most: 21 } => ["zone east", "20", "most-out 21"], false;
+        ZoneSum { zones: 39, fleet: 40 } => ["zones hold 39", "fleet 40"], false;
+        UseTime { 0: 5 } => ["use-ms of 5"], false;
+        SettleTime { 0: 5 } => ["settle-ms of 5"], false;
+        PerMille { 0: 1_500 } => ["1500 in a thousand"], false;
+        TooLong { 0: 700 } => ["700 bytes", "600"], false;
     );
-    table!(Held:
+    table!(OrderNotPut:
         Older { agreed: Serial(41), file: Serial(40) } => ["serial 40", "than 41", "serial = 42"], false;
         Differs { serial: Serial(41), keys: vec!["steps", "who"] } => ["serial 41", "steps, who"], false;
-        Lost { to: Serial(41) } => ["serial 41", "serial = 42"], false;
-        Stopped { stopped: Serial(40), file: Serial(41) } => ["serial 40", "serial 41", "serial = 42"], false;
+        Superseded { to: Serial(41) } => ["serial 41", "serial = 42"], false;
+        HaltedMeanwhile { halted: Serial(40), file: Serial(41) } => ["serial 40", "serial 41", "serial = 42"], false;
     );
 }
 
--- a/model-checker/tests/council_model.rs
+++ b/model-checker/tests/council_model.rs
@@ -94,15 +94,15 @@
     report
 }
 
-#[test_case(|it| it.promise = false, duel(), 10; "promise")]
-#[test_case(|it| it.highest = false, third(), 13; "highest")]
+#[test_case(|it| it.keep_promises = false, duel(), 10; "promise")]
+#[test_case(|it| it.adopt_highest = false, third(), 13; "highest")]
 #[test_case(|it| it.write_back = false, reads(), 9; "write_back")]
-#[test_case(|it| it.abstain = false, wiped(), 12; "abstain")]
+#[test_case(|it| it.abstain_until_recovered = false, wiped(), 12; "abstain")]
 #[test_case(|it| it.recovery_majority = false, wiped(), 15; "recovery_majority")]
-#[test_case(|it| it.kept_first = false, crash(), 12; "kept_first")]
-#[test_case(|it| it.once = false, again(2), 8; "once")]
-#[test_case(|it| it.memories = false, five(), 27; "memories")]
-#[test_case(|it| it.newer = false, word(), 12; "newer")]
+#[test_case(|it| it.persist_before_reply = false, crash(), 12; "kept_first")]
+#[test_case(|it| it.deduplicate_requests = false, again(2), 8; "once")]
+#[test_case(|it| it.discard_lost_generations = false, five(), 27; "memories")]
+#[test_case(|it| it.ignore_older_values = false, word(), 12; "newer")]
 fn without_a_guard_what_is_chosen_does_not_hold(takes_out: fn(&mut Guards), setting: Setting, length: usize) {
     let mut guards = Guards::ALL;
     takes_out(&mut guards);
--- a/model-checker/tests/founding/mod.rs
+++ b/model-checker/tests/founding/mod.rs
@@ -10,11 +10,11 @@
 use std::rc::Rc;
 
 use node::{id, Node, Wished};
-use ottersail_consensus::{Ballot, Change, Guards, Key, Memory, Message, Outcome, RequestId, Value};
+use ottersail_consensus::{Ballot, Change, Guards, Key, Message, Outcome, RequestId, StoreGeneration, Value};
 use ottersail_membership::{Life, MemberId};
 use ottersail_model_checker::{print_of, World};
 
-const KEY: Key = Key::Head;
+const KEY: Key = Key::Founding;
 /// Asks for rounds; no councillor.
 const ASKER: MemberId = MemberId(99);
 
@@ -80,8 +80,8 @@
 impl Founding {
     pub fn new(setting: Setting) -> Founding {
         let node = |me| {
-            let memory = Memory::drawn(100 + me as u64);
-            Rc::new(Node::new(me, setting.size, memory, setting.guards))
+            let generation = StoreGeneration::drawn(100 + me as u64);
+            Rc::new(Node::new(me, setting.size, generation, setting.guards))
         };
         let mut founding = Founding {
             nodes: (0..setting.size).map(node).collect(),
@@ -98,7 +98,7 @@
 
     /// Sent as soon as it may be: what comes later, or never, came too early to none.
     fn asks(&mut self, by: usize) {
-        if !self.nodes[by].sound() {
+        if !self.nodes[by].participates() {
             let asks = self.nodes[by].asks();
             self.send(by, asks);
         }
@@ -156,7 +156,7 @@
     }
 
     fn told(&mut self, outcome: Outcome) {
-        let (Outcome::Done(value) | Outcome::Now(Some(value))) = outcome else { return };
+        let (Outcome::Chosen(value) | Outcome::Current(Some(value))) = outcome else { return };
         let held = self.chosen.entry(value.revision).or_insert_with(|| value.clone());
         if *held != value {
             self.wrong = Some(format!("two values at one revision: {held:?} and {value:?}"));
@@ -184,9 +184,10 @@
                 steps.push(Step::PutBack(node));
             }
         }
-        let sound: Vec<usize> = all.filter(|node| self.nodes[*node].sound()).collect();
+        let participating: Vec<usize> = all.filter(|node| self.nodes[*node].participates()).collect();
         if self.rounds < self.setting.rounds {
-            let pairs = sound.iter().flat_map(|by| sound.iter().map(move |with| (*by, *with)));
+            let pairs =
+                participating.iter().flat_map(|by| participating.iter().map(move |with| (*by, *with)));
             steps.extend(
                 pairs
                     .filter(|(a, b)| a < b && !self.setting.cuts.contains(&(*a, *b)))
@@ -204,9 +205,9 @@
             Step::Sync(node) => self.with(*node, Node::sync),
             Step::Crash(node) => self.with(*node, |node, _| node.restart(1)),
             Step::Lose(node) => {
-                let memory = Memory::drawn(self.setting.drawn[self.lost]);
+                let generation = StoreGeneration::drawn(self.setting.drawn[self.lost]);
                 self.lost += 1;
-                self.with(*node, |node, _| node.lose(memory));
+                self.with(*node, |node, _| node.lose(generation));
             }
             Step::PutBack(node) => self.with(*node, |node, _| node.put_back()),
             Step::Round(by, with) => self.round(*by, *with),
--- a/model-checker/tests/founding/node.rs
+++ b/model-checker/tests/founding/node.rs
@@ -5,7 +5,8 @@
 
 use ottersail::time::Ms;
 use ottersail_consensus::{
-    Councillor, Guards, Key, Memory, Message, Open, Outcome, Record, Stored, Terms, Token, Value, Wishes,
+    AllowAll, CouncilConfig, Councillor, Effects, Guards, Key, Message, Outcome, Record, StoreGeneration,
+    StoredState, Token, Value,
 };
 use ottersail_membership::{Life, MemberId};
 use ottersail_model_checker::print_of;
@@ -21,11 +22,11 @@
     keep: Vec<(Token, Vec<Record>)>,
 }
 
-impl Wishes for Wished {
+impl Effects for Wished {
     fn send(&mut self, to: MemberId, message: &Message) {
         self.sent.push((to, message.clone()));
     }
-    fn keep(&mut self, token: Token, records: &[Record]) {
+    fn persist(&mut self, token: Token, records: &[Record]) {
         self.keep.push((token, records.to_vec()));
     }
     fn chosen(&mut self, _: Key, _: &Value) {}
@@ -42,17 +43,17 @@
     size: usize,
     guards: Guards,
     pub council: Councillor,
-    pub disk: Stored,
+    pub disk: StoredState,
     unsynced: VecDeque<(Token, Vec<Record>)>,
     /// A copy of the disk from when it began to take part.
-    copy: Option<Stored>,
+    copy: Option<StoredState>,
     /// Of all the above: taken anew at each change of this node only.
     pub print: u128,
 }
 
 impl Node {
-    pub fn new(me: usize, size: usize, memory: Memory, guards: Guards) -> Node {
-        let disk = Stored::new(memory);
+    pub fn new(me: usize, size: usize, generation: StoreGeneration, guards: Guards) -> Node {
+        let disk = StoredState::new(generation);
         let council = born(me, size, 1, &disk, guards);
         let mut node =
             Node { me, size, guards, council, disk, unsynced: VecDeque::new(), copy: None, print: 0 };
@@ -80,8 +81,8 @@
     }
 
     /// The disk is new, too.
-    pub fn lose(&mut self, memory: Memory) {
-        self.disk = Stored::new(memory);
+    pub fn lose(&mut self, generation: StoreGeneration) {
+        self.disk = StoredState::new(generation);
         self.restart(1);
     }
 
@@ -96,8 +97,8 @@
         self.restart(1);
     }
 
-    pub fn sound(&self) -> bool {
-        self.disk.sound
+    pub fn participates(&self) -> bool {
+        self.disk.participating
     }
 
     pub fn syncs(&self) -> bool {
@@ -107,39 +108,39 @@
     /// Something is heard. A sound one's disk is done at once: what it says waits for that anyway, so a crash
     /// before is one before it heard. It holds nothing else that matters between two rounds.
     pub fn hear(&mut self, from: MemberId, message: &Message, wished: &mut Wished) {
-        self.council.message(Ms(0.0), from, message, &Open, wished);
+        self.council.on_message(Ms(0.0), from, message, &AllowAll, wished);
         self.after(wished);
-        if self.sound() {
+        if self.participates() {
             self.restart(1);
         }
     }
 
     /// The same within a round.
     pub fn take_part(&mut self, from: MemberId, message: &Message, wished: &mut Wished) {
-        self.council.message(Ms(0.0), from, message, &Open, wished);
+        self.council.on_message(Ms(0.0), from, message, &AllowAll, wished);
         self.after(wished);
     }
 
     pub fn sync(&mut self, wished: &mut Wished) {
         if let Some((token, records)) = self.unsynced.pop_front() {
-            records.iter().for_each(|record| self.disk.take(record));
-            self.council.kept(Ms(0.0), token, &Open, wished);
+            records.iter().for_each(|record| self.disk.apply(record));
+            self.council.on_persisted(Ms(0.0), token, &AllowAll, wished);
         }
         self.after(wished);
-        if self.sound() {
+        if self.participates() {
             self.restart(1);
         }
     }
 
     fn after(&mut self, wished: &mut Wished) {
-        if self.sound() && self.copy.is_none() {
+        if self.participates() && self.copy.is_none() {
             self.copy = Some(self.disk.clone());
         }
         self.unsynced.extend(std::mem::take(&mut wished.keep));
-        while self.sound() && self.syncs() {
+        while self.participates() && self.syncs() {
             if let Some((token, records)) = self.unsynced.pop_front() {
-                records.iter().for_each(|record| self.disk.take(record));
-                self.council.kept(Ms(0.0), token, &Open, wished);
+                records.iter().for_each(|record| self.disk.apply(record));
+                self.council.on_persisted(Ms(0.0), token, &AllowAll, wished);
                 self.unsynced.extend(std::mem::take(&mut wished.keep));
             }
         }
@@ -149,17 +150,17 @@
     /// What its bell would send now.
     pub fn asks(&self) -> Vec<(MemberId, Message)> {
         let mut wished = Wished::default();
-        self.council.clone().bell(Ms(0.0), &Open, &mut wished);
+        self.council.clone().on_timer(Ms(0.0), &AllowAll, &mut wished);
         wished.sent
     }
 }
 
-fn born(me: usize, size: usize, life: u64, disk: &Stored, guards: Guards) -> Councillor {
+fn born(me: usize, size: usize, life: u64, disk: &StoredState, guards: Guards) -> Councillor {
     let all: Vec<MemberId> = (0..size).map(id).collect();
     // Its bell may ring at any time.
-    let terms = Terms { again: Ms(0.0), ..Terms::new(id(me), Life(life), &all, 1) };
-    let mut council = Councillor::born(Ms(0.0), terms, disk.clone());
+    let config = CouncilConfig { retry_interval: Ms(0.0), ..CouncilConfig::new(id(me), Life(life), &all, 1) };
+    let mut council = Councillor::new(Ms(0.0), config, disk.clone());
     council.sabotage(guards);
-    council.living(&BTreeSet::from([id(me)]));
+    council.set_living(&BTreeSet::from([id(me)]));
     council
 }
--- a/model-checker/tests/founding/sent.rs
+++ b/model-checker/tests/founding/sent.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use ottersail_consensus::{MemberId, Memories, Memory, Message};
+use ottersail_consensus::{MemberId, Message, StoreGeneration, StoreGenerations};
 
 use super::node::{id, Node, Wished};
 use super::{Founding, Sent};
@@ -16,11 +16,13 @@
         let held = &self.nodes[*to].disk;
         let open = !self.setting.cuts.contains(&(*from, *to));
         open && match message {
-            Message::Recovered { memory, .. } => !held.sound && *memory == held.memory,
-            Message::Founded { roll } => !held.sound && roll.get(&id(*to)) == Some(&held.memory),
+            Message::Recovered { generation, .. } => !held.participating && *generation == held.generation,
+            Message::Founded { founders } => {
+                !held.participating && founders.get(&id(*to)) == Some(&held.generation)
+            }
             Message::Outdated { known } => {
                 let loses = self.lost < self.setting.drawn.len() && self.setting.losing.contains(to);
-                loses || *known > held.memory
+                loses || *known > held.generation
             }
             _ => true,
         }
@@ -29,10 +31,10 @@
     /// Of one memory's claims only the newest: one with its roll lets its hearer do all that one without
     /// does.
     pub(super) fn newest(&self, (from, to, message): &Sent) -> bool {
-        let Message::Recover { memory, roll: None, .. } = message else { return true };
+        let Message::Recover { generation, founders: None, .. } = message else { return true };
         let later = |it: &Sent| match it {
-            (by, at, Message::Recover { memory: of, roll: Some(_), .. }) => {
-                (by, at, of) == (from, to, memory)
+            (by, at, Message::Recover { generation: of, founders: Some(_), .. }) => {
+                (by, at, of) == (from, to, generation)
             }
             _ => false,
         };
@@ -60,28 +62,30 @@
         if matches!(message, Message::Recovered { .. } | Message::Founded { .. }) {
             return true;
         }
-        let claim = matches!(message, Message::Recover { .. }) && !self.nodes[*to].sound();
-        self.setting.guards.founding_all && claim && !self.setting.losing.contains(from)
+        let claim = matches!(message, Message::Recover { .. }) && !self.nodes[*to].participates();
+        self.setting.guards.founding_by_all && claim && !self.setting.losing.contains(from)
     }
 
     /// Nobody takes part, and one has kept a roll with a memory that is lost and never told that it kept
     /// it, too:
     /// that roll can't become unanimous, and it keeps no other.
     pub(super) fn waits(&self) -> bool {
-        let lost = |(of, memory): (&MemberId, &Memory)| {
+        let lost = |(of, generation): (&MemberId, &StoreGeneration)| {
             let kept = self.nodes.iter().zip(0..).find(|(_, node)| id(*node) == *of);
-            kept.is_some_and(|(node, _)| node.disk.memory != *memory)
+            kept.is_some_and(|(node, _)| node.disk.generation != *generation)
         };
-        let told = |roll: &Memories| {
+        let told = |founders: &StoreGenerations| {
             self.sent.iter().any(|(by, _, message)| match message {
-                Message::Recover { memory, roll: Some(kept), .. } => {
-                    kept == roll && roll.get(&id(*by)) == Some(memory) && lost((&id(*by), memory))
+                Message::Recover { generation, founders: Some(kept), .. } => {
+                    kept == founders
+                        && founders.get(&id(*by)) == Some(generation)
+                        && lost((&id(*by), generation))
                 }
                 _ => false,
             })
         };
         let stuck =
-            |node: &Rc<Node>| node.disk.roll.as_ref().is_some_and(|it| it.iter().any(lost) && !told(it));
-        !self.nodes.iter().any(|node| node.sound()) && self.nodes.iter().any(stuck)
+            |node: &Rc<Node>| node.disk.founders.as_ref().is_some_and(|it| it.iter().any(lost) && !told(it));
+        !self.nodes.iter().any(|node| node.participates()) && self.nodes.iter().any(stuck)
     }
 }
--- a/model-checker/tests/founding_model.rs
+++ b/model-checker/tests/founding_model.rs
@@ -42,7 +42,7 @@
 /// 0 and 2 don't hear each other.
 #[test]
 fn founded_by_a_majority_there_are_two() {
-    let guards = Guards { founding_all: false, ..Guards::ALL };
+    let guards = Guards { founding_by_all: false, ..Guards::ALL };
     let report = search(&Setting { guards, losing: vec![1], cuts: vec![(0, 2), (2, 0)], ..any() });
     assert_eq!(report.broken().map(<[_]>::len), Ok(11));
 }
--- a/model-checker/tests/registers/mod.rs
+++ b/model-checker/tests/registers/mod.rs
@@ -77,14 +77,14 @@
             }
             Told::Chosen(value) => self.is_chosen(value),
             Told::Answered(number, outcome) => {
-                let own = |it: &Value| it.by.member == node::id(by) && it.by.number == number;
-                if matches!(&outcome, Outcome::Now(Some(it)) if own(it)) {
+                let own = |it: &Value| it.request.member == node::id(by) && it.request.number == number;
+                if matches!(&outcome, Outcome::Current(Some(it)) if own(it)) {
                     self.wrong = Some(format!("{by} is told that its own change {number} came too late"));
                 }
                 let now = match outcome {
-                    Outcome::Done(value) | Outcome::Now(Some(value)) => Some(value),
-                    Outcome::Now(None) => None,
-                    Outcome::Unanswered | Outcome::Turned => return,
+                    Outcome::Chosen(value) | Outcome::Current(Some(value)) => Some(value),
+                    Outcome::Current(None) => None,
+                    Outcome::Unanswered | Outcome::Rejected => return,
                 };
                 let revision = now.as_ref().map_or(0, |value| value.revision);
                 if let Some(floor) = self.floors.remove(&(by, number)).filter(|floor| revision < *floor) {
@@ -108,9 +108,9 @@
             self.wrong = Some(format!("two values at one revision: {held:?} and {value:?}"));
         }
         // A request that is done twice stands at two revisions.
-        let twice = self.chosen.values().filter(|it| it.by == value.by).count() > 1;
+        let twice = self.chosen.values().filter(|it| it.request == value.request).count() > 1;
         if twice {
-            self.wrong = Some(format!("one request done twice: {:?}", value.by));
+            self.wrong = Some(format!("one request done twice: {:?}", value.request));
         }
     }
 }
--- a/model-checker/tests/registers/node.rs
+++ b/model-checker/tests/registers/node.rs
@@ -1,17 +1,16 @@
 //! A councillor as a node of the network, with its disk.
 
-use std::cell::RefCell;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::hash::{Hash, Hasher};
-
 use ottersail::time::Ms;
 use ottersail_consensus::{
-    Change, Councillor, Guards, Key, Memory, Message, Open, Outcome, Record, Stored, Terms, Token, Value,
-    Wishes,
+    AllowAll, Change, CouncilConfig, Councillor, Effects, Guards, Key, Message, Outcome, Record,
+    StoreGeneration, StoredState, Token, Value,
 };
 use ottersail_membership::{Life, MemberId};
 use ottersail_model_checker::net::{self, Machine, Out};
 use ottersail_model_checker::print_of;
+use std::cell::RefCell;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::hash::{Hash, Hasher};
 
 pub const KEY: Key = Key::Order(0);
 
@@ -46,7 +45,7 @@
     size: usize,
     council: Councillor,
     guards: Guards,
-    disk: Stored,
+    disk: StoredState,
     unsynced: VecDeque<(Token, Vec<Record>)>,
     /// Whether the disk is done at once: then no crash can fall before a sync.
     at_once: bool,
@@ -71,11 +70,11 @@
     told: Vec<Told>,
 }
 
-impl Wishes for Wished {
+impl Effects for Wished {
     fn send(&mut self, to: MemberId, message: &Message) {
         self.out.push((to.0 as usize - 1, message.clone()));
     }
-    fn keep(&mut self, token: Token, records: &[Record]) {
+    fn persist(&mut self, token: Token, records: &[Record]) {
         self.keep.push((token, records.to_vec()));
     }
     fn chosen(&mut self, _: Key, value: &Value) {
@@ -86,9 +85,9 @@
     }
 }
 
-fn terms(me: usize, life: u64, size: usize) -> Terms {
+fn config(me: usize, life: u64, size: usize) -> CouncilConfig {
     let all: Vec<MemberId> = (0..size).map(id).collect();
-    Terms::new(id(me), Life(life), &all, 1)
+    CouncilConfig::new(id(me), Life(life), &all, 1)
 }
 
 impl Node {
@@ -100,11 +99,17 @@
         guards: Guards,
         at_once: bool,
     ) -> Node {
-        let memory = |node: usize| Memory::drawn(100 + node as u64);
-        let roll = (0..size).map(|node| (id(node), memory(node))).collect();
-        let known = (0..size).filter(|node| *node != me).map(|node| (id(node), memory(node))).collect();
-        let disk = Stored { memory: memory(me), sound: true, roll: Some(roll), known, ..Stored::default() };
-        let council = Councillor::born(Ms(0.0), terms(me, 1, size), disk.clone());
+        let generation = |node: usize| StoreGeneration::drawn(100 + node as u64);
+        let founders = (0..size).map(|node| (id(node), generation(node))).collect();
+        let known = (0..size).filter(|node| *node != me).map(|node| (id(node), generation(node))).collect();
+        let disk = StoredState {
+            generation: generation(me),
+            participating: true,
+            founders: Some(founders),
+            known,
+            ..StoredState::default()
+        };
+        let council = Councillor::new(Ms(0.0), config(me, 1, size), disk.clone());
         let asks = asks.iter().cloned().collect();
         let (unsynced, told) = (VecDeque::new(), vec![]);
         let (number, now, wipes, word, tries_again, print) = (0, 0, 0, false, false, 0);
@@ -132,7 +137,7 @@
 
     fn begin(&mut self) {
         self.council.sabotage(self.guards);
-        self.council.living(&BTreeSet::from([id(self.me)]));
+        self.council.set_living(&BTreeSet::from([id(self.me)]));
         self.reprint();
     }
 
@@ -180,8 +185,8 @@
 
     fn sync(&mut self, now: Ms, wished: &mut Wished) -> bool {
         let Some((token, records)) = self.unsynced.pop_front() else { return false };
-        records.iter().for_each(|record| self.disk.take(record));
-        self.council.kept(now, token, &Open, wished);
+        records.iter().for_each(|record| self.disk.apply(record));
+        self.council.on_persisted(now, token, &AllowAll, wished);
         self.unsynced.extend(std::mem::take(&mut wished.keep));
         true
     }
@@ -192,13 +197,13 @@
     type Act = Does;
 
     fn hear(&mut self, _: u32, from: usize, message: &Message, out: &mut Out<Message>) {
-        self.with(out, |council, now, wished| council.message(now, id(from), message, &Open, wished));
+        self.with(out, |council, now, wished| council.on_message(now, id(from), message, &AllowAll, wished));
     }
 
     fn acts(&self, _: u32) -> Vec<Does> {
         let ask = self.asks.front().cloned().map(Does::Ask);
         // Else bells are for recovering only.
-        let rings = self.bells > 0 && (self.tries_again || !self.council.sound());
+        let rings = self.bells > 0 && (self.tries_again || !self.council.participates());
         let sync = (!self.unsynced.is_empty()).then_some(Does::Sync);
         ask.into_iter().chain(rings.then_some(Does::Bell)).chain(sync).collect()
     }
@@ -210,12 +215,12 @@
                 self.number += 1;
                 let number = self.number;
                 self.told.push(Told::Asked(number));
-                self.with(out, |it, now, out| it.ask(now, number, KEY, change.clone(), &Open, out));
+                self.with(out, |it, now, out| it.submit(now, number, KEY, change.clone(), &AllowAll, out));
             }
             Does::Bell => {
                 self.bells -= 1;
-                self.now = self.now.max(self.council.bell_at().0.ceil() as u32);
-                self.with(out, |council, now, wished| council.bell(now, &Open, wished));
+                self.now = self.now.max(self.council.next_timer().0.ceil() as u32);
+                self.with(out, |council, now, wished| council.on_timer(now, &AllowAll, wished));
             }
             Does::Sync => self.with(out, |_, _, _| {}),
         }
@@ -232,10 +237,10 @@
         self.unsynced.clear();
         if memory == net::Memory::Lost {
             self.wipes += 1;
-            self.disk = Stored::new(Memory::drawn(1000 * self.wipes + self.me as u64));
+            self.disk = StoredState::new(StoreGeneration::drawn(1000 * self.wipes + self.me as u64));
         }
         let now = Ms(f64::from(self.now));
-        self.council = Councillor::born(now, terms(self.me, 2 + self.wipes, self.size), self.disk.clone());
+        self.council = Councillor::new(now, config(self.me, 2 + self.wipes, self.size), self.disk.clone());
         self.begin();
     }
 
--- a/register/examples/keeps.rs
+++ b/register/examples/keeps.rs
@@ -3,13 +3,13 @@
 use std::sync::atomic::Ordering;
 use std::time::Instant;
 
-use ottersail_consensus::{Ballot, Key, Life, MemberId, Memory, Record, Register, RequestId, Value};
+use ottersail_consensus::{Ballot, Key, Life, MemberId, Record, Register, RequestId, StoreGeneration, Value};
 use ottersail_register::{RegisterError, Store};
 
 fn record(number: u64) -> Record {
     let ballot = Ballot { number, proposer: MemberId(1), life: Life(2) };
-    let by = RequestId { member: MemberId(1), life: Life(2), number };
-    let value = Value { revision: number, by, body: vec![7; 100] };
+    let request = RequestId { member: MemberId(1), life: Life(2), number };
+    let value = Value { revision: number, request, body: vec![7; 100] };
     let key = Key::Order((number % 1000) as u16);
     Record::Register(key, Register { promised: ballot, accepted: Some((ballot, value)) })
 }
@@ -19,15 +19,15 @@
     let folder = words.next().unwrap_or_else(|| ".".to_owned());
     let keeps: u64 = words.next().and_then(|word| word.parse().ok()).unwrap_or(2000).max(1);
     let path = std::path::Path::new(&folder).join("keeps-measured");
-    let (store, _) = Store::open(&path, Memory(1))?;
+    let (store, _) = Store::open(&path, StoreGeneration(1))?;
     for group in [1, 8] {
         let (bytes, syncs) =
-            (store.tally().bytes.load(Ordering::Relaxed), store.tally().syncs.load(Ordering::Relaxed));
+            (store.counters().bytes.load(Ordering::Relaxed), store.counters().syncs.load(Ordering::Relaxed));
         let mut spans = Vec::new();
         for turn in 0..keeps {
             let records: Vec<Record> = (0..group).map(|at| record(turn * group + at)).collect();
             let begun = Instant::now();
-            store.keep(&records)?;
+            store.persist(&records)?;
             spans.push(begun.elapsed().as_secs_f64() * 1000.0);
         }
         spans.sort_by(f64::total_cmp);
@@ -37,13 +37,13 @@
             at(0.5),
             at(0.99),
             at(1.0),
-            (store.tally().bytes.load(Ordering::Relaxed) - bytes) / keeps,
-            (store.tally().syncs.load(Ordering::Relaxed) - syncs) as f64 / keeps as f64,
+            (store.counters().bytes.load(Ordering::Relaxed) - bytes) / keeps,
+            (store.counters().syncs.load(Ordering::Relaxed) - syncs) as f64 / keeps as f64,
         );
     }
     drop(store);
     let begun = Instant::now();
-    let (_store, stored) = Store::open(&path, Memory(1))?;
+    let (_store, stored) = Store::open(&path, StoreGeneration(1))?;
     let span = begun.elapsed().as_secs_f64() * 1000.0;
     let size = std::fs::metadata(&path).map_or(0, |data| data.len());
     println!(
--- a/register/src/codec.rs
+++ b/register/src/codec.rs
@@ -1,12 +1,12 @@
 //! Records as bytes: a key, and a body behind its checksum.
 
-use ottersail_consensus::{Key, Memories, Memory, Record, Register, Stored};
+use ottersail_consensus::{Key, Record, Register, StoreGeneration, StoreGenerations, StoredState};
 use ottersail_membership::MemberId;
 use serde::{Deserialize, Serialize};
 
 #[derive(Serialize, Deserialize)]
 enum Place {
-    Memory,
+    StoreGeneration,
     Sound,
     Roll,
     Known(MemberId),
@@ -16,27 +16,29 @@
 /// The key and the body of a record.
 pub(crate) fn encode(record: &Record) -> Result<(Vec<u8>, Vec<u8>), postcard::Error> {
     let (place, body) = match record {
-        Record::Mine(memory) => (Place::Memory, postcard::to_allocvec(memory)?),
-        Record::Sound => (Place::Sound, Vec::new()),
-        Record::Roll(roll) => (Place::Roll, postcard::to_allocvec(roll)?),
-        Record::Known(member, memory) => (Place::Known(*member), postcard::to_allocvec(memory)?),
+        Record::OwnGeneration(generation) => (Place::StoreGeneration, postcard::to_allocvec(generation)?),
+        Record::Participating => (Place::Sound, Vec::new()),
+        Record::Founders(founders) => (Place::Roll, postcard::to_allocvec(founders)?),
+        Record::PeerGeneration(member, generation) => {
+            (Place::Known(*member), postcard::to_allocvec(generation)?)
+        }
         Record::Register(key, register) => (Place::Register(*key), postcard::to_allocvec(register)?),
     };
     Ok((postcard::to_allocvec(&place)?, body))
 }
 
 /// The key of the roll.
-pub(crate) fn roll() -> Result<Vec<u8>, postcard::Error> {
+pub(crate) fn founders() -> Result<Vec<u8>, postcard::Error> {
     postcard::to_allocvec(&Place::Roll)
 }
 
 /// The record that this key and body are.
 pub(crate) fn decode(place: &[u8], body: &[u8]) -> Result<Record, postcard::Error> {
     Ok(match postcard::from_bytes(place)? {
-        Place::Memory => Record::Mine(postcard::from_bytes::<Memory>(body)?),
-        Place::Sound => Record::Sound,
-        Place::Roll => Record::Roll(postcard::from_bytes::<Memories>(body)?),
-        Place::Known(member) => Record::Known(member, postcard::from_bytes(body)?),
+        Place::StoreGeneration => Record::OwnGeneration(postcard::from_bytes::<StoreGeneration>(body)?),
+        Place::Sound => Record::Participating,
+        Place::Roll => Record::Founders(postcard::from_bytes::<StoreGenerations>(body)?),
+        Place::Known(member) => Record::PeerGeneration(member, postcard::from_bytes(body)?),
         Place::Register(key) => Record::Register(key, postcard::from_bytes::<Register>(body)?),
     })
 }
@@ -60,11 +62,11 @@
 }
 
 /// The memory number first: it takes the roll back, as in the machine.
-pub(crate) fn gather(records: impl Iterator<Item = Record>) -> Option<Stored> {
+pub(crate) fn gather(records: impl Iterator<Item = Record>) -> Option<StoredState> {
     let (mine, others): (Vec<Record>, Vec<Record>) =
-        records.partition(|record| matches!(record, Record::Mine(_)));
-    let mut stored = Stored::default();
-    stored.take(mine.first()?);
-    others.iter().for_each(|record| stored.take(record));
+        records.partition(|record| matches!(record, Record::OwnGeneration(_)));
+    let mut stored = StoredState::default();
+    stored.apply(mine.first()?);
+    others.iter().for_each(|record| stored.apply(record));
     Some(stored)
 }
--- a/register/src/errors.rs
+++ b/register/src/errors.rs
@@ -28,11 +28,11 @@
     Newer { path: PathBuf, found: u32, known: u32 },
     #[error(
         "{path}: the council's file is damaged ({what}); move it away and start again: the councillor recovers \
-         from the others while a majority of them keeps its memory; never put an old copy in its place"
+         from the others while a majority of them keeps its generation; never put an old copy in its place"
     )]
     Damaged { path: PathBuf, what: String },
     #[error(
-        "{path}: the council's file holds no memory number; move it away and start again, as after a loss"
+        "{path}: the council's file holds no generation number; move it away and start again, as after a loss"
     )]
     Empty { path: PathBuf },
 }
--- a/register/src/file.rs
+++ b/register/src/file.rs
@@ -55,7 +55,7 @@
 
 /// Bytes written and syncs asked for, for the metrics.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct WriteCounters {
     pub bytes: AtomicU64,
     pub syncs: AtomicU64,
 }
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 pub(crate) struct Behind {
     pub file: File,
-    pub tally: Arc<Tally>,
+    pub tally: Arc<WriteCounters>,
 }
 
 impl StorageBackend for Behind {
--- a/register/src/store.rs
+++ b/register/src/store.rs
@@ -5,14 +5,14 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-use ottersail_consensus::{Memory, Record, Stored};
+use ottersail_consensus::{Record, StoreGeneration, StoredState};
 use redb::{
     Builder, Database, DatabaseError, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition,
 };
 
 use crate::codec;
 use crate::errors::RegisterError;
-use crate::file::{self, Behind, Head, Tally, HEAD, VERSION};
+use crate::file::{self, Behind, Head, WriteCounters, HEAD, VERSION};
 
 pub(crate) const RECORDS: TableDefinition<&[u8], &[u8]> = TableDefinition::new("records");
 /// Bytes of cache; a councillor's records are far fewer.
@@ -23,7 +23,7 @@
 pub struct Store {
     path: PathBuf,
     pub(crate) base: Database,
-    tally: Arc<Tally>,
+    tally: Arc<WriteCounters>,
 }
 
 impl Store {
@@ -32,7 +32,7 @@
     ///
     /// # Errors
     /// See [`RegisterError`]; the file is left as it is unless it was whole and of this or an older version.
-    pub fn open(path: &Path, fresh: Memory) -> Result<(Store, Stored), RegisterError> {
+    pub fn open(path: &Path, fresh: StoreGeneration) -> Result<(Store, StoredState), RegisterError> {
         let io = |source| RegisterError::Io { path: path.to_owned(), source };
         if !path.try_exists().map_err(io)? {
             create(path, fresh)?;
@@ -65,7 +65,7 @@
         if disk.metadata().map_or(0, |data| data.len()) <= HEAD {
             return Err(damaged(path, "it ends after its header"));
         }
-        let tally = Arc::new(Tally::default());
+        let tally = Arc::new(WriteCounters::default());
         let base = base(path, Behind { file: disk, tally: Arc::clone(&tally) })?;
         Ok(Store { path: path.to_owned(), base, tally })
     }
@@ -75,11 +75,11 @@
     ///
     /// # Errors
     /// An I/O error: whether they are kept is not known. Say nothing of them; end and start anew.
-    pub fn keep<'a>(&self, records: impl IntoIterator<Item = &'a Record>) -> Result<(), RegisterError> {
+    pub fn persist<'a>(&self, records: impl IntoIterator<Item = &'a Record>) -> Result<(), RegisterError> {
         write(&self.path, &self.base, records)
     }
 
-    fn read(&self) -> Result<Stored, RegisterError> {
+    fn read(&self) -> Result<StoredState, RegisterError> {
         let mut records = Vec::new();
         let broken = |error: &dyn std::fmt::Display| damaged(&self.path, &error.to_string());
         let reading = self.base.begin_read().map_err(|error| broken(&error))?;
@@ -112,7 +112,7 @@
     }
 
     /// Bytes written and syncs since it was opened.
-    pub fn tally(&self) -> &Tally {
+    pub fn counters(&self) -> &WriteCounters {
         &self.tally
     }
 }
@@ -153,9 +153,9 @@
             let sealed = codec::seal(&place, &body);
             table.insert(&place[..], &sealed[..]).map_err(|error| failed(path, error))?;
             // A memory of another number has kept no roll yet.
-            if matches!(record, Record::Mine(_)) {
-                let roll = codec::roll().map_err(|error| damaged(path, &error.to_string()))?;
-                table.remove(&roll[..]).map_err(|error| failed(path, error))?;
+            if matches!(record, Record::OwnGeneration(_)) {
+                let founders = codec::founders().map_err(|error| damaged(path, &error.to_string()))?;
+                table.remove(&founders[..]).map_err(|error| failed(path, error))?;
             }
         }
     }
@@ -163,7 +163,7 @@
 }
 
 /// Under another name first, so that a cut leaves either no file or a whole one.
-fn create(path: &Path, fresh: Memory) -> Result<(), RegisterError> {
+fn create(path: &Path, fresh: StoreGeneration) -> Result<(), RegisterError> {
     let io = |source| RegisterError::Io { path: path.to_owned(), source };
     let mut name = path.as_os_str().to_owned();
     name.push(".new");
@@ -182,7 +182,7 @@
     let sync = disk.try_clone().map_err(io)?;
     {
         let base = base(path, Behind { file: disk, tally: Arc::default() })?;
-        write(path, &base, [&Record::Mine(fresh)])?;
+        write(path, &base, [&Record::OwnGeneration(fresh)])?;
     }
     sync.sync_all().map_err(io)?;
     fs::rename(&draft, path).map_err(io)?;
--- a/register/src/tests/cuts.rs
+++ b/register/src/tests/cuts.rs
@@ -5,7 +5,7 @@
 use std::io::{Error, Result};
 use std::sync::{Arc, Mutex};
 
-use ottersail_consensus::{Key, Stored};
+use ottersail_consensus::{Key, StoredState};
 use redb::StorageBackend;
 
 use super::*;
@@ -89,7 +89,7 @@
         let disk = Disk::default();
         disk.0.lock().unwrap().left = usize::MAX;
         let database = base(&path, disk.clone()).unwrap();
-        write(&path, &database, [&Record::Mine(FRESH)]).unwrap();
+        write(&path, &database, [&Record::OwnGeneration(FRESH)]).unwrap();
         disk.0.lock().unwrap().left = draw(&mut chance, 120);
         let mut confirmed = 0;
         for number in 1..60 {
@@ -118,7 +118,7 @@
     assert!(seen.get(&0).is_some_and(|count| *count > 10));
 }
 
-fn number(stored: &Stored, slot: u8) -> u64 {
+fn number(stored: &StoredState, slot: u8) -> u64 {
     stored.registers.get(&Key::Slots(slot)).map_or(0, |register| register.promised.number)
 }
 
@@ -128,8 +128,8 @@
     let path = folder.path().join("council");
     let (store, mut stored) = Store::open(&path, FRESH).unwrap();
     for slot in 0..40 {
-        store.keep(&[record(slot, 3)]).unwrap();
-        stored.take(&record(slot, 3));
+        store.persist(&[record(slot, 3)]).unwrap();
+        stored.apply(&record(slot, 3));
     }
     drop(store);
     let whole = fs::read(&path).unwrap();
--- a/register/src/tests/errors.rs
+++ b/register/src/tests/errors.rs
@@ -16,7 +16,7 @@
 #[test_case(RegisterError::Foreign { path: path() }, "no council file", "check the path in the settings")]
 #[test_case(RegisterError::Newer { path: path(), found: 9, known: 2 }, "version 9", "start the newer program")]
 #[test_case(RegisterError::Damaged { path: path(), what: "torn".into() }, "torn", "move it away")]
-#[test_case(RegisterError::Empty { path: path() }, "no memory number", "move it away")]
+#[test_case(RegisterError::Empty { path: path() }, "no generation number", "move it away")]
 fn says_what_where_and_what_to_try(error: RegisterError, what: &str, tried: &str) {
     let text = error.to_string();
     for part in [what, tried, "/var/lib/x/council"] {
--- a/register/src/tests/kill.rs
+++ b/register/src/tests/kill.rs
@@ -16,7 +16,7 @@
     let Ok(path) = std::env::var(FILE) else { return };
     let (store, _) = Store::open(path.as_ref(), FRESH).unwrap();
     for number in 1..20_000 {
-        store.keep(&[record(1, number), record(2, number)]).unwrap();
+        store.persist(&[record(1, number), record(2, number)]).unwrap();
         println!("\nkept {number}");
     }
 }
--- a/register/src/tests/mod.rs
+++ b/register/src/tests/mod.rs
@@ -5,10 +5,10 @@
 mod kill;
 mod plain;
 
-use ottersail_consensus::{Ballot, Key, Life, MemberId, Memory, Record, Register, RequestId, Value};
+use ottersail_consensus::{Ballot, Key, Life, MemberId, Record, Register, RequestId, StoreGeneration, Value};
 use tempfile::TempDir;
 
-pub(crate) const FRESH: Memory = Memory(0xabc);
+pub(crate) const FRESH: StoreGeneration = StoreGeneration(0xabc);
 
 pub(crate) fn folder() -> TempDir {
     TempDir::new().unwrap()
@@ -17,7 +17,7 @@
 /// A promise and an accepted value of that number.
 pub(crate) fn record(slot: u8, number: u64) -> Record {
     let ballot = Ballot { number, proposer: MemberId(1), life: Life(2) };
-    let by = RequestId { member: MemberId(1), life: Life(2), number };
-    let value = Value { revision: number, by, body: vec![slot; 100] };
+    let request = RequestId { member: MemberId(1), life: Life(2), number };
+    let value = Value { revision: number, request, body: vec![slot; 100] };
     Record::Register(Key::Slots(slot), Register { promised: ballot, accepted: Some((ballot, value)) })
 }
--- a/register/src/tests/plain.rs
+++ b/register/src/tests/plain.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::Path;
 
-use ottersail_consensus::{Memories, Memory, Record, Stored};
+use ottersail_consensus::{Record, StoreGeneration, StoreGenerations, StoredState};
 use ottersail_membership::MemberId;
 use test_case::test_case;
 
@@ -12,18 +12,18 @@
 use crate::store::RECORDS;
 use crate::{codec, RegisterError, Store};
 
-fn some(path: &Path) -> Stored {
+fn some(path: &Path) -> StoredState {
     let (store, mut stored) = Store::open(path, FRESH).unwrap();
-    let roll = Memories::from([(MemberId(1), FRESH), (MemberId(2), Memory(5))]);
+    let founders = StoreGenerations::from([(MemberId(1), FRESH), (MemberId(2), StoreGeneration(5))]);
     let group = [
-        Record::Roll(roll),
-        Record::Known(MemberId(2), Memory(5)),
+        Record::Founders(founders),
+        Record::PeerGeneration(MemberId(2), StoreGeneration(5)),
         record(1, 7),
         record(9, 8),
-        Record::Sound,
+        Record::Participating,
     ];
-    store.keep(&group).unwrap();
-    group.iter().for_each(|record| stored.take(record));
+    store.persist(&group).unwrap();
+    group.iter().for_each(|record| stored.apply(record));
     stored
 }
 
@@ -32,14 +32,14 @@
     let folder = folder();
     let path = folder.path().join("council");
     let stored = some(&path);
-    assert!(stored.sound && stored.registers.len() == 2 && stored.roll.is_some());
-    let (store, again) = Store::open(&path, Memory(1)).unwrap();
+    assert!(stored.participating && stored.registers.len() == 2 && stored.founders.is_some());
+    let (store, again) = Store::open(&path, StoreGeneration(1)).unwrap();
     assert_eq!(again, stored);
     // A raised memory takes the roll back on disk too.
-    store.keep(&[Record::Mine(Memory(1 << 48))]).unwrap();
+    store.persist(&[Record::OwnGeneration(StoreGeneration(1 << 48))]).unwrap();
     drop(store);
-    let (_store, raised) = Store::open(&path, Memory(1)).unwrap();
-    assert_eq!((raised.memory, raised.roll), (Memory(1 << 48), None));
+    let (_store, raised) = Store::open(&path, StoreGeneration(1)).unwrap();
+    assert_eq!((raised.generation, raised.founders), (StoreGeneration(1 << 48), None));
 }
 
 #[test]
@@ -94,15 +94,20 @@
 }
 
 /// As version 1 wrote it: the same records without their checksums.
-fn older(path: &Path, half: bool) -> Stored {
+fn older(path: &Path, half: bool) -> StoredState {
     let stored = some(path);
     let (store, _) = Store::open(path, FRESH).unwrap();
     let writing = store.base.begin_write().unwrap();
     {
         let mut table = writing.open_table(RECORDS).unwrap();
-        let mut records =
-            vec![Record::Mine(stored.memory), Record::Sound, Record::Roll(stored.roll.clone().unwrap())];
-        records.extend(stored.known.iter().map(|(member, memory)| Record::Known(*member, *memory)));
+        let mut records = vec![
+            Record::OwnGeneration(stored.generation),
+            Record::Participating,
+            Record::Founders(stored.founders.clone().unwrap()),
+        ];
+        records.extend(
+            stored.known.iter().map(|(member, generation)| Record::PeerGeneration(*member, *generation)),
+        );
         records.extend(stored.registers.iter().map(|(key, held)| Record::Register(*key, held.clone())));
         for record in records.iter().skip(if half { 2 } else { 0 }) {
             let (place, body) = codec::encode(record).unwrap();
--- a/rollout/src/allows.rs
+++ b/rollout/src/allows.rs
@@ -1,12 +1,12 @@
 //! The acceptor's guard: what a councillor lets into its registers, by what it sees itself.
 
-use crate::book::{Book, Permit};
-use crate::conductor::Conductor;
+use crate::book::{Permit, PermitTable};
+use crate::conductor::Coordinator;
 use crate::guards::Guards;
 use crate::order::Order;
 use crate::refusal::Refusal;
 use crate::seen::{Sight, DRIFT};
-use crate::serials::stopped;
+use crate::serials::halted_by_evidence;
 use ottersail::time::Ms;
 use ottersail_membership::MemberId;
 
@@ -18,7 +18,7 @@
 /// [`Refusal::Serial`].
 pub fn follows(from: Option<&Order>, to: &Order, guards: Guards) -> Result<(), Refusal> {
     let Some(from) = from.filter(|_| guards.serials()) else { return Ok(()) };
-    let halts = stopped(from).as_ref() == Some(to);
+    let halts = halted_by_evidence(from).as_ref() == Some(to);
     // Unchanged: a reading that is written back.
     if to.serial > from.serial || halts || from == to {
         return Ok(());
@@ -26,7 +26,7 @@
     Err(Refusal::Serial { given: to.serial.0, stands: from.serial.0 })
 }
 
-impl Conductor {
+impl Coordinator {
     /// Whether this councillor lets the book change so. `order` is what it has itself accepted last in the
     /// order's register, `from` in the book's. Pure: each acceptor judges by what it sees itself.
     ///
@@ -36,8 +36,8 @@
         &self,
         now: Ms,
         order: Option<(u64, &Order)>,
-        from: Option<&Book>,
-        to: &Book,
+        from: Option<&PermitTable>,
+        to: &PermitTable,
     ) -> Result<(), Refusal> {
         let held = from.map_or(&[][..], |it| &it.permits);
         // Asked for anew by the same life: it counts as out as before. Symptom without that: each councillor
@@ -61,7 +61,13 @@
         self.has_room(now, order, to, &new)
     }
 
-    fn is_ordered(&self, revision: u64, order: &Order, to: &Book, new: &[&Permit]) -> Result<(), Refusal> {
+    fn is_ordered(
+        &self,
+        revision: u64,
+        order: &Order,
+        to: &PermitTable,
+        new: &[&Permit],
+    ) -> Result<(), Refusal> {
         if !self.guards.order() {
             return Ok(());
         }
@@ -79,7 +85,13 @@
     }
 
     /// Whether enough are left by what is seen here, once all permits of that book are used.
-    pub(crate) fn has_room(&self, now: Ms, order: &Order, to: &Book, new: &[&Permit]) -> Result<(), Refusal> {
+    pub(crate) fn has_room(
+        &self,
+        now: Ms,
+        order: &Order,
+        to: &PermitTable,
+        new: &[&Permit],
+    ) -> Result<(), Refusal> {
         let permitted = |id: MemberId| to.of(id).is_some();
         let settle = Ms(f64::from(order.settle_ms));
         let stays = |id: MemberId| !self.guards.permits() || !permitted(id);
@@ -118,7 +130,7 @@
         self.leaves_council(now, settle, to, new)
     }
 
-    fn leaves_council(&self, now: Ms, settle: Ms, to: &Book, new: &[&Permit]) -> Result<(), Refusal> {
+    fn leaves_council(&self, now: Ms, settle: Ms, to: &PermitTable, new: &[&Permit]) -> Result<(), Refusal> {
         let Some(one) = new.iter().find(|it| self.councillors.contains(&it.member)) else { return Ok(()) };
         let out = |id: &MemberId| to.of(*id).is_some() || self.sights.whole(now, *id, settle).is_none();
         match self.councillors.iter().filter(|it| **it != one.member).find(|it| out(it)) {
--- a/rollout/src/conductor.rs
+++ b/rollout/src/conductor.rs
@@ -1,14 +1,14 @@
 //! At each councillor: what it sees of the fleet, and, at the one that conducts, which permits are proposed.
 
-use crate::book::{Book, Permit};
+use crate::book::{Permit, PermitTable};
 use crate::guards::Guards;
-use crate::notes::Note;
+use crate::notes::Event;
 use crate::order::{Name, Order};
 use crate::refusal::Refusal;
-use crate::seen::{Seen, Sights};
-use crate::stand::Stand;
+use crate::seen::{RosterEntry, Sights};
+use crate::stand::MemberStatus;
 use crate::watch::Watch;
-use crate::wishes::{Outcome, Wishes};
+use crate::wishes::{Effects, Outcome};
 use ottersail::time::Ms;
 use ottersail_membership::{Life, MemberId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,7 +33,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Conductor {
+pub struct Coordinator {
     pub(crate) me: MemberId,
     pub(crate) councillors: BTreeSet<MemberId>,
     pub(crate) period: Ms,
@@ -43,7 +43,7 @@
     pub(crate) names: BTreeMap<MemberId, Known>,
     /// Chosen in the registers, with their revisions.
     pub(crate) order: Option<(u64, Order)>,
-    pub(crate) book: (u64, Book),
+    pub(crate) book: (u64, PermitTable),
     /// Since when each permit of the book is known here to be chosen.
     pub(crate) known: BTreeMap<Permit, Ms>,
     /// Under which order, for those that were seen to be added.
@@ -55,25 +55,31 @@
     pub(crate) wrong: BTreeSet<MemberId>,
     pub(crate) watch: Watch,
     /// What the acceptor here holds, chosen or not.
-    pub(crate) accepted: (u64, Book),
+    pub(crate) accepted: (u64, PermitTable),
     /// The last proposal came to nothing: the next one stands on what the acceptor here holds.
     pub(crate) atop: bool,
     pub(crate) born: Ms,
-    pub(crate) asked: Option<(Ms, Book)>,
+    pub(crate) asked: Option<(Ms, PermitTable)>,
     look_at: Ms,
     shut_until: Ms,
     pub(crate) waited: BTreeSet<Permit>,
     pub(crate) refused: Option<Refusal>,
 }
 
-impl Conductor {
+impl Coordinator {
     /// The period is the members'; `me` is one of the councillors.
-    pub fn born(now: Ms, me: MemberId, councillors: &[MemberId], period: Ms) -> Conductor {
-        Conductor::guarded(now, me, councillors, period, Guards::all())
+    pub fn born(now: Ms, me: MemberId, councillors: &[MemberId], period: Ms) -> Coordinator {
+        Coordinator::guarded(now, me, councillors, period, Guards::all())
     }
 
-    pub fn guarded(now: Ms, me: MemberId, councillors: &[MemberId], period: Ms, guards: Guards) -> Conductor {
-        Conductor {
+    pub fn guarded(
+        now: Ms,
+        me: MemberId,
+        councillors: &[MemberId],
+        period: Ms,
+        guards: Guards,
+    ) -> Coordinator {
+        Coordinator {
             me,
             councillors: councillors.iter().copied().collect(),
             period,
@@ -81,14 +87,14 @@
             sights: Sights::new(period, guards),
             names: BTreeMap::new(),
             order: None,
-            book: (0, Book::default()),
+            book: (0, PermitTable::default()),
             known: BTreeMap::new(),
             given: BTreeMap::new(),
             conducts: false,
             step: (0, None),
             wrong: BTreeSet::new(),
             watch: Watch::default(),
-            accepted: (0, Book::default()),
+            accepted: (0, PermitTable::default()),
             atop: false,
             born: now,
             asked: None,
@@ -104,7 +110,7 @@
     }
 
     /// All that live, this one too.
-    pub fn roster(&mut self, now: Ms, living: &BTreeMap<MemberId, Seen>) {
+    pub fn roster(&mut self, now: Ms, living: &BTreeMap<MemberId, RosterEntry>) {
         self.sights.roster(living);
         if self.names.len() + living.len() > MOST_NAMES {
             self.names.clear();
@@ -122,7 +128,7 @@
         self.soon(now);
     }
 
-    pub fn stand(&mut self, now: Ms, from: MemberId, life: Life, stand: &Stand) {
+    pub fn stand(&mut self, now: Ms, from: MemberId, life: Life, stand: &MemberStatus) {
         if self.sights.stand(now, from, life, stand) {
             self.soon(now);
         }
@@ -143,7 +149,7 @@
     }
 
     /// Chosen in the book's register.
-    pub fn booked(&mut self, now: Ms, revision: u64, book: &Book) {
+    pub fn booked(&mut self, now: Ms, revision: u64, book: &PermitTable) {
         if self.book.0 >= revision {
             return;
         }
@@ -172,7 +178,7 @@
     }
 
     /// What the acceptor here holds from now on, or at the start: it need not be chosen.
-    pub fn accepted(&mut self, now: Ms, revision: u64, book: &Book) {
+    pub fn accepted(&mut self, now: Ms, revision: u64, book: &PermitTable) {
         for permit in &book.permits {
             self.known.entry(permit.clone()).or_insert(now);
         }
@@ -212,11 +218,11 @@
         answer.unwrap_or(look)
     }
 
-    pub fn bell(&mut self, now: Ms, out: &mut dyn Wishes) {
+    pub fn bell(&mut self, now: Ms, out: &mut dyn Effects) {
         if self.asked.as_ref().is_some_and(|it| now >= it.0 + self.period * PATIENCE) {
             self.asked = None;
             self.fails(now);
-            out.note(Note::Unanswered);
+            out.note(Event::Unanswered);
         }
         if self.conducts && self.asked.is_none() && now >= self.look_at.max(self.shut_until) {
             self.look_at = now + self.period * LOOK_EVERY;
--- a/rollout/src/evidence.rs
+++ b/rollout/src/evidence.rs
@@ -13,8 +13,8 @@
 mod tests;
 mod track;
 
-use crate::order::Halts;
-use crate::stand::Counts;
+use crate::order::HaltPolicy;
+use crate::stand::ViewingCounts;
 use crate::{Life, MemberId};
 use fit::Fit;
 use std::collections::BTreeMap;
@@ -39,7 +39,7 @@
     /// It is of the version ordered.
     pub released: bool,
     /// Since that life began, not since the last look.
-    pub counts: Counts,
+    pub counts: ViewingCounts,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -91,7 +91,7 @@
 /// Of one release; a new one begins with none. Equal inputs give equal outputs.
 #[derive(Clone, Debug)]
 pub struct Evidence {
-    halts: Halts,
+    halt_policy: HaltPolicy,
     tracks: Tracks,
     cohorts: Vec<Cohort>,
     /// Which of them each released one is of.
@@ -101,12 +101,12 @@
 }
 
 impl Evidence {
-    pub fn new(halts: Halts) -> Evidence {
-        let alarms = f64::from(halts.alarms.clamp(1, 10_000)) / 10_000.0;
+    pub fn new(halt_policy: HaltPolicy) -> Evidence {
+        let alarms = f64::from(halt_policy.alarms.clamp(1, 10_000)) / 10_000.0;
         // Bad ends and set-up times have half of the alarms each.
         let figures = Figures { halts_at: (2.0 / alarms).ln(), set_up: 1.0, ..Figures::default() };
         let tracks = Tracks::default();
-        Evidence { halts, tracks, cohorts: Vec::new(), cohort_of: BTreeMap::new(), window: 0, figures }
+        Evidence { halt_policy, tracks, cohorts: Vec::new(), cohort_of: BTreeMap::new(), window: 0, figures }
     }
 
     /// The members that are whole (settled, not out and not suspected), as told by now. Begin before the first is
@@ -125,7 +125,7 @@
         if !self.cohorts.is_empty() && steps.usual.is_some() && steps.both {
             self.weigh();
         }
-        let halts = |it: f64| self.halts.by_evidence && it >= self.figures.halts_at;
+        let halts = |it: f64| self.halt_policy.by_evidence && it >= self.figures.halts_at;
         let what = match (halts(self.figures.bad_ends), halts(self.figures.set_ups)) {
             (true, _) => What::BadEnds,
             (_, true) => What::SetUpTime,
@@ -158,7 +158,7 @@
             }
             (least_usual, count) = (least_usual.min(others.len()), count + ours.len());
             let fit = Fit::of(&others, self.tracks.dispersion());
-            let points = f64::from(self.halts.points.clamp(1, 100)) / 100.0;
+            let points = f64::from(self.halt_policy.points.clamp(1, 100)) / 100.0;
             for (sum, (times, _)) in bad_ends.iter_mut().zip(TIMES) {
                 let (log, plain) = fit.evidence(&others, &ours, points * times);
                 *sum += log;
--- a/rollout/src/evidence/sum.rs
+++ b/rollout/src/evidence/sum.rs
@@ -1,6 +1,6 @@
 //! Viewings and set-ups of one member over some windows.
 
-use crate::stand::Counts;
+use crate::stand::ViewingCounts;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Sum {
@@ -26,7 +26,7 @@
     }
 
     /// What was added from one to the other; `None` if a counter went back.
-    pub fn of(from: &Counts, to: &Counts) -> Option<Sum> {
+    pub fn of(from: &ViewingCounts, to: &ViewingCounts) -> Option<Sum> {
         let asked = to.asked.checked_sub(from.asked)?;
         let blocked = to.blocked.checked_sub(from.blocked)?;
         let aborted = to.aborted.checked_sub(from.aborted)?;
--- a/rollout/src/evidence/tests.rs
+++ b/rollout/src/evidence/tests.rs
@@ -104,7 +104,7 @@
     for (at, it) in told.values_mut().filter(|it| it.released == released).enumerate() {
         it.life = if at % 2 == 0 { Life(77) } else { it.life };
         let bad = if at % 2 == 0 { 900_000 } else { 1 };
-        it.counts = Counts { asked: bad, blocked: bad, ..Counts::default() };
+        it.counts = ViewingCounts { asked: bad, blocked: bad, ..ViewingCounts::default() };
     }
     assert_eq!(play.evidence.window(&told), None);
     assert_eq!(play.evidence.told(), before);
@@ -130,7 +130,7 @@
 #[test]
 fn without_halts_it_only_tells() {
     let mut play = Play::new(Plan { worse: 0.3, steps: 2, ..PLAN }, 5);
-    play.evidence = Evidence::new(Halts { by_evidence: false, ..HALTS });
+    play.evidence = Evidence::new(HaltPolicy { by_evidence: false, ..HALTS });
     assert_eq!(play.run(), None);
     let told = play.evidence.told();
     assert!(told.bad_ends > told.halts_at, "{told:?}");
--- a/rollout/src/evidence/tests/fleet.rs
+++ b/rollout/src/evidence/tests/fleet.rs
@@ -2,13 +2,13 @@
 
 use super::plan::{Lie, Noise, Plan};
 use crate::evidence::{Evidence, Told, What};
-use crate::order::Halts;
-use crate::stand::Counts;
+use crate::order::HaltPolicy;
+use crate::stand::ViewingCounts;
 use crate::{Life, MemberId};
 use fastrand::Rng;
 use std::collections::BTreeMap;
 
-pub const HALTS: Halts = Halts { by_evidence: true, alarms: 100, points: 5 };
+pub const HALTS: HaltPolicy = HaltPolicy { by_evidence: true, alarms: 100, points: 5 };
 const WINDOW_S: f64 = 2.0;
 /// Ten seconds out, twenty until it is settled; a step stands for twenty.
 const OUT: usize = 5;
@@ -19,7 +19,7 @@
 
 struct Member {
     life: u64,
-    counts: Counts,
+    counts: ViewingCounts,
     /// Of its rate, for good.
     differs: f64,
     wanders: f64,
@@ -71,7 +71,7 @@
         let lost = 25 + rng.usize(0..60);
         let fleet = (0..plan.members).map(|_| Member {
             life: 1,
-            counts: Counts::default(),
+            counts: ViewingCounts::default(),
             differs: if plan.noise.has(Noise::Differ) { (0.5 * normal(&mut rng) - 0.125).exp() } else { 1.0 },
             wanders: 0.5 * normal(&mut rng),
             slow: (0.3 * normal(&mut rng)).exp(),
@@ -104,7 +104,7 @@
                 let batch = (until - through).min(all.div_ceil(20));
                 for &at in &order[through..through + batch] {
                     let member = &mut self.fleet[at];
-                    (member.life, member.counts) = (member.life + 1, Counts::default());
+                    (member.life, member.counts) = (member.life + 1, ViewingCounts::default());
                     member.released = Some(-((OUT + SETTLES) as isize));
                 }
                 through += batch;
@@ -147,13 +147,13 @@
         told.collect()
     }
 
-    fn lie(&self, counts: Counts) -> Counts {
+    fn lie(&self, counts: ViewingCounts) -> ViewingCounts {
         let many = self.now as u64 * 1_000_000_000_000;
-        let none = Counts { asked: many, set_ups: many, ..Counts::default() };
+        let none = ViewingCounts { asked: many, set_ups: many, ..ViewingCounts::default() };
         match self.plan.lie {
-            Lie::AllBad => Counts { blocked: many, broken_off: u64::MAX, set_up_ms: u64::MAX, ..none },
-            Lie::AllGood => Counts { set_up_ms: many * 200, ..none },
-            Lie::Worse => Counts { blocked: counts.blocked + counts.asked * 3 / 10, ..counts },
+            Lie::AllBad => ViewingCounts { blocked: many, broken_off: u64::MAX, set_up_ms: u64::MAX, ..none },
+            Lie::AllGood => ViewingCounts { set_up_ms: many * 200, ..none },
+            Lie::Worse => ViewingCounts { blocked: counts.blocked + counts.asked * 3 / 10, ..counts },
         }
     }
 
--- a/rollout/src/evidence/tests/others.rs
+++ b/rollout/src/evidence/tests/others.rs
@@ -20,7 +20,7 @@
         }
         let together = evidence.tracks.dispersion();
         let rate = (usual.bad / usual.asked).clamp(0.005, 0.9);
-        let (worse, good) = (rate + f64::from(evidence.halts.points) / 100.0, ours.asked - ours.bad);
+        let (worse, good) = (rate + f64::from(evidence.halt_policy.points) / 100.0, ours.asked - ours.bad);
         let wald = ours.bad * (worse / rate).ln() + good * ((1.0 - worse) / (1.0 - rate)).ln();
         let more = ours.bad - ours.asked * rate;
         let varies = together * ours.asked * rate * (1.0 - rate) * (1.0 + ours.asked / usual.asked);
--- a/rollout/src/evidence/track.rs
+++ b/rollout/src/evidence/track.rs
@@ -1,7 +1,7 @@
 //! What each member did since it is watched: sums over windows, bounded by what is usual of the others.
 
 use super::{median, sum::Sum, Told, FEWEST};
-use crate::stand::Counts;
+use crate::stand::ViewingCounts;
 use crate::{Life, MemberId};
 use std::collections::BTreeMap;
 
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 struct Track {
     life: Life,
-    last: Counts,
+    last: ViewingCounts,
     released: bool,
     /// Before its release; none if it is not released.
     before: Sum,
@@ -76,7 +76,9 @@
                 );
                 match told.released {
                     true => released.push(id),
-                    false => drop(fresh.insert(id, Sum::of(&Counts::default(), &last).unwrap_or_default())),
+                    false => {
+                        fresh.insert(id, Sum::of(&ViewingCounts::default(), &last).unwrap_or_default());
+                    }
                 }
                 continue;
             };
--- a/rollout/src/holder.rs
+++ b/rollout/src/holder.rs
@@ -1,11 +1,11 @@
 //! At every manager: what it tells of itself, and when it goes out.
 
-use crate::book::{Book, Permit, Stamp};
+use crate::book::{MemberTime, Permit, PermitTable};
 use crate::guards::Guards;
-use crate::notes::Note;
+use crate::notes::Event;
 use crate::order::{Name, Order};
-use crate::stand::{Counts, Stand};
-use crate::wishes::Wishes;
+use crate::stand::{MemberStatus, ViewingCounts};
+use crate::wishes::Effects;
 use ottersail::time::Ms;
 use ottersail_membership::{Life, MemberId};
 
@@ -17,42 +17,55 @@
 
 /// A permit that can be used at this moment.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Going {
-    pub stamp: Stamp,
+pub struct UsablePermit {
+    pub stamp: MemberTime,
     pub version: Name,
 }
 
 #[derive(Clone, Debug)]
-pub struct Holder {
+pub struct PermitHolder {
     me: (MemberId, Life),
     born: Ms,
     version: Name,
     period: Ms,
     guards: Guards,
     whole: bool,
-    counts: Counts,
+    counts: ViewingCounts,
     order: Option<(u64, Order)>,
-    book: (u64, Book),
+    book: (u64, PermitTable),
     /// Permits asked for up to then are never used.
-    never: Stamp,
-    going: Option<Stamp>,
+    never: MemberTime,
+    going: Option<MemberTime>,
     tell_at: Ms,
 }
 
-impl Holder {
-    pub fn born(now: Ms, me: (MemberId, Life), version: Name, period: Ms) -> Holder {
-        Holder::guarded(now, me, version, period, Guards::all())
+impl PermitHolder {
+    pub fn born(now: Ms, me: (MemberId, Life), version: Name, period: Ms) -> PermitHolder {
+        PermitHolder::guarded(now, me, version, period, Guards::all())
     }
 
-    pub fn guarded(now: Ms, me: (MemberId, Life), version: Name, period: Ms, guards: Guards) -> Holder {
-        let (order, book, never, going) = (None, Default::default(), Stamp(0), None);
-        let (whole, counts) = (false, Counts::default());
+    pub fn guarded(now: Ms, me: (MemberId, Life), version: Name, period: Ms, guards: Guards) -> PermitHolder {
+        let (order, book, never, going) = (None, Default::default(), MemberTime(0), None);
+        let (whole, counts) = (false, ViewingCounts::default());
         let tell_at = now;
-        Holder { me, born: now, version, period, guards, whole, counts, order, book, never, going, tell_at }
+        PermitHolder {
+            me,
+            born: now,
+            version,
+            period,
+            guards,
+            whole,
+            counts,
+            order,
+            book,
+            never,
+            going,
+            tell_at,
+        }
     }
 
-    fn stamp(&self, now: Ms) -> Stamp {
-        Stamp((now - self.born).0.max(0.0) as u64 + 1)
+    fn stamp(&self, now: Ms) -> MemberTime {
+        MemberTime((now - self.born).0.max(0.0) as u64 + 1)
     }
 
     /// It takes viewings, has list and titles, and its first doubts have ended.
@@ -63,7 +76,7 @@
     }
 
     /// How viewings ended since this life began; told with the next stand.
-    pub fn counts(&mut self, _now: Ms, counts: Counts) {
+    pub fn counts(&mut self, _now: Ms, counts: ViewingCounts) {
         self.counts = counts;
     }
 
@@ -80,7 +93,7 @@
     }
 
     /// Chosen in the book's register.
-    pub fn booked(&mut self, now: Ms, revision: u64, book: &Book) {
+    pub fn booked(&mut self, now: Ms, revision: u64, book: &PermitTable) {
         if self.book.0 >= revision {
             return;
         }
@@ -108,18 +121,18 @@
         Some(self.born + Ms(permit.asked.0 as f64 + f64::from(order.use_ms)))
     }
 
-    /// A permit to use. The daemon stops taking viewings, then asks [`Holder::still_in_time`].
-    pub fn wants_out(&self, now: Ms) -> Option<Going> {
+    /// A permit to use. The daemon stops taking viewings, then asks [`PermitHolder::still_in_time`].
+    pub fn wants_out(&self, now: Ms) -> Option<UsablePermit> {
         let order = &self.order.as_ref()?.1;
         let permit = self.permit().filter(|it| order.leads_to() == Some(&it.version))?;
         let in_time = now < self.until(permit)? || !self.guards.in_time();
         let useful = order.wants(&self.version);
-        (in_time && useful).then(|| Going { stamp: permit.asked, version: permit.version.clone() })
+        (in_time && useful).then(|| UsablePermit { stamp: permit.asked, version: permit.version.clone() })
     }
 
     /// Asked with a fresh clock once nothing more is taken. True: it goes out now and does not turn back.
     /// False: it takes viewings again, and that permit is never used.
-    pub fn still_in_time(&mut self, now: Ms, going: &Going) -> bool {
+    pub fn still_in_time(&mut self, now: Ms, going: &UsablePermit) -> bool {
         // Symptom: the process stood still between look and going; the fleet has been halted since.
         if self.guards.stop_first() && self.wants_out(now).as_ref() != Some(going) {
             self.never = self.never.max(going.stamp);
@@ -136,13 +149,13 @@
         self.permit().and_then(|it| self.until(it)).map_or(tell, |it| it.min(tell))
     }
 
-    pub fn bell(&mut self, now: Ms, out: &mut dyn Wishes) {
+    pub fn bell(&mut self, now: Ms, out: &mut dyn Effects) {
         // Past its end: unless that is said it stands in the book for ever.
         let late = self.permit().filter(|it| self.until(it).is_some_and(|end| now >= end)).map(|it| it.asked);
         if let Some(asked) = late.filter(|_| self.guards.in_time()) {
             self.never = self.never.max(asked);
             self.tell_at = now;
-            out.note(Note::Unused);
+            out.note(Event::Unused);
         }
         if self.order.is_none() || self.is_through() || now < self.tell_at {
             return;
@@ -151,8 +164,8 @@
         let returned = self.book.1.of(self.me.0).is_some_and(|it| it.life != self.me.1);
         self.tell_at = now + self.period * if returned { RETURNED_EVERY } else { STAND_EVERY };
         // Never the same moment as what will never be used.
-        let at = self.stamp(now).max(Stamp(self.never.0 + 1));
-        out.stand(&Stand {
+        let at = self.stamp(now).max(MemberTime(self.never.0 + 1));
+        out.stand(&MemberStatus {
             at,
             version: self.version.clone(),
             whole: self.whole && self.going.is_none(),
--- a/rollout/src/look.rs
+++ b/rollout/src/look.rs
@@ -1,35 +1,35 @@
 //! What the one that conducts proposes: permits given back, and permits in turn.
 
-use crate::book::{Book, Permit};
-use crate::conductor::Conductor;
-use crate::notes::Note;
+use crate::book::{Permit, PermitTable};
+use crate::conductor::Coordinator;
+use crate::notes::Event;
 use crate::order::Order;
 use crate::refusal::Refusal;
-use crate::serials::stopped;
-use crate::wishes::Wishes;
+use crate::serials::halted_by_evidence;
+use crate::wishes::Effects;
 use ottersail::time::Ms;
 use std::collections::BTreeSet;
 
-impl Conductor {
+impl Coordinator {
     /// The book to change, at which revision. Symptom without the second one: a value that this acceptor
     /// alone holds, of an order that is halted, is taken up by each round and refused by all others for ever.
     /// What was not chosen of it is left out; if it was chosen, its other acceptors keep that from passing.
-    fn base(&self) -> (u64, Book) {
+    fn base(&self) -> (u64, PermitTable) {
         let (revision, held) = &self.accepted;
         if !self.atop || *revision <= self.book.0 {
             return self.book.clone();
         }
         let chosen = |it: &&Permit| self.book.1.permits.contains(it);
         let permits = held.permits.iter().filter(chosen).cloned().collect();
-        (*revision, Book { permits, ended: false, ..held.clone() })
+        (*revision, PermitTable { permits, ended: false, ..held.clone() })
     }
 
-    pub(crate) fn look(&mut self, now: Ms, revision: u64, order: &Order, out: &mut dyn Wishes) {
+    pub(crate) fn look(&mut self, now: Ms, revision: u64, order: &Order, out: &mut dyn Effects) {
         self.tell_waits(now, order, out);
         self.weigh(now, order);
-        if let (Some(why), Some(halted)) = (self.watch.verdict.clone(), stopped(order)) {
+        if let (Some(why), Some(halted)) = (self.watch.verdict.clone(), halted_by_evidence(order)) {
             if self.watch.tells() {
-                out.note(Note::Evidence { serial: order.serial, why });
+                out.note(Event::Evidence { serial: order.serial, why });
             }
             out.halt(revision, &halted);
         }
@@ -47,7 +47,7 @@
         book.ended = self.is_through(now, order, &book, ended);
         let ends = ended != book.ended;
         if book.ended && ends {
-            out.note(Note::Ended { serial: order.serial });
+            out.note(Event::Ended { serial: order.serial });
         }
         if changed || given || ends {
             out.propose(before, &book);
@@ -56,12 +56,12 @@
     }
 
     /// As many as may go, in turn.
-    fn give(&mut self, now: Ms, order: &Order, book: &mut Book, out: &mut dyn Wishes) -> bool {
+    fn give(&mut self, now: Ms, order: &Order, book: &mut PermitTable, out: &mut dyn Effects) -> bool {
         let limit = self.limit(now, order, book, out);
         let Some(version) = order.leads_to().filter(|_| self.watch.verdict.is_none()) else { return false };
         let had = book.permits.len();
         let mut skip = BTreeSet::new();
-        while book.permits.len() < crate::book::MOST_PERMITS {
+        while book.permits.len() < crate::book::MAX_PERMITS {
             let Some((member, life, asked)) = self.next(now, order, book, limit, &skip) else { break };
             let permit = Permit { member, life, asked, version: version.clone() };
             let mut more = book.clone();
@@ -70,7 +70,7 @@
             if let Err(refusal) = self.has_room(now, order, &more, &[&permit]) {
                 let full = matches!(refusal, Refusal::Full { .. });
                 if skip.is_empty() && self.refused.as_ref() != Some(&refusal) {
-                    out.note(Note::Refused(refusal.clone()));
+                    out.note(Event::Refused(refusal.clone()));
                     self.refused = Some(refusal);
                 }
                 if full {
@@ -81,7 +81,7 @@
                 continue;
             }
             *book = more;
-            out.note(Note::Permits { serial: order.serial, member, version: version.clone() });
+            out.note(Event::Permits { serial: order.serial, member, version: version.clone() });
         }
         book.permits.len() > had
     }
--- a/rollout/src/notes.rs
+++ b/rollout/src/notes.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 #[derive(Clone, Debug, PartialEq, Error)]
-pub enum Note {
+pub enum Event {
     #[error("{serial:?}: permit proposed for {member}, to come back with {version}")]
     Permits { serial: Serial, member: MemberId, version: Name },
     #[error("{serial:?}: permit of {member} given back")]
--- a/rollout/src/order.rs
+++ b/rollout/src/order.rs
@@ -35,19 +35,19 @@
     }
 }
 
-/// Counts up with every change that an operator makes to an order; of two files the greater is the newer.
+/// ViewingCounts up with every change that an operator makes to an order; of two files the greater is the newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Serial(pub u64);
 
 /// Whom an order is about.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Who {
+pub enum Scope {
     All,
     Zone(Name),
     /// By name, at most eight.
     Named(Vec<Name>),
     /// So many of a thousand, the same at every member.
-    Part(u16),
+    PerMille(u16),
 }
 
 /// How many of those that it is about are through before the fleet settles.
@@ -55,7 +55,7 @@
 pub enum Step {
     Count(u16),
     /// Of a thousand, one at least.
-    Part(u16),
+    PerMille(u16),
 }
 
 impl Step {
@@ -63,7 +63,7 @@
     pub fn of(self, all: usize) -> usize {
         match self {
             Step::Count(count) => usize::from(count).min(all),
-            Step::Part(part) => (all * usize::from(part)).div_ceil(1_000).max(1).min(all),
+            Step::PerMille(part) => (all * usize::from(part)).div_ceil(1_000).max(1).min(all),
         }
     }
 }
@@ -85,7 +85,7 @@
 
 /// What evidence halts a release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Halts {
+pub struct HaltPolicy {
     pub by_evidence: bool,
     /// False alarms, in ten thousand releases.
     pub alarms: u16,
@@ -102,24 +102,24 @@
     Back,
     /// Halted by evidence: as `Halt`, under the serial that said go. No file says so, and the same file read
     /// again does not lift it; a greater serial does.
-    Stopped,
+    HaltedByEvidence,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     pub serial: Serial,
     pub name: Name,
-    pub who: Who,
+    pub scope: Scope,
     /// Managers: the version ordered, and the one that a way back leads to.
     pub version: Name,
-    pub before: Name,
+    pub previous_version: Name,
     pub steps: Vec<Step>,
     /// How long a member has to have been seen whole, and a step has to have stood, in milliseconds.
     pub settle_ms: u32,
     /// How long after it asked a holder may still go out on its permit, by its own clock.
     pub use_ms: u32,
     pub bounds: Bounds,
-    pub halts: Halts,
+    pub halt_policy: HaltPolicy,
     pub state: State,
     /// These do not come back: their permits are given back, and they are not waited for.
     pub struck: Vec<Name>,
@@ -127,96 +127,96 @@
 
 /// Why an order can't stand.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Fault {
+pub enum OrderError {
     #[error("it has no steps; write steps = one, 5%, 25%, all")]
     NoSteps,
     #[error("it has {0} steps; {MOST_STEPS} are the most, take some out")]
-    Steps(usize),
+    TooManySteps(usize),
     #[error("{0} zones are named; {MOST_ZONES} are the most, name those that need a bound")]
-    Zones(usize),
+    TooManyZones(usize),
     #[error(
         "{0} names are struck; {MOST_STRUCK} are the most at once, write the others with the next serial"
     )]
-    Struck(usize),
+    TooManyStruck(usize),
     #[error("most-out of 0 lets nobody go; write 1 at least; what halts is state = halt")]
-    NobodyOut,
+    MostOutZero,
     #[error("most-out of {most} is not under the fleet of {fleet}; write less, some have to serve")]
-    AllOut { most: u16, fleet: u16 },
+    MostOutNotBelowFleet { most: u16, fleet: u16 },
     #[error(
         "zone {zone} has {has} and most-out {most}; write 1 at least for both, most-out no more than it has"
     )]
-    Zone { zone: Name, has: u16, most: u16 },
+    ZoneBound { zone: Name, has: u16, most: u16 },
     #[error("the zones hold {zones}, the fleet {fleet}; each belongs to one zone, so both must be equal")]
-    Sum { zones: u32, fleet: u16 },
+    ZoneSum { zones: u32, fleet: u16 },
     #[error("use-ms of {0}; expected from 500 to 60000")]
-    Use(u32),
+    UseTime(u32),
     #[error("settle-ms of {0}; expected from 100 to 3600000")]
-    Settle(u32),
+    SettleTime(u32),
     #[error("a part of {0} in a thousand; expected from 1 to 1000, that is 0.1% to 100%")]
-    Part(u16),
+    PerMille(u16),
     #[error("an order of {0} bytes; {MOST_BYTES} are the most, write shorter names or fewer zones")]
-    Long(usize),
+    TooLong(usize),
 }
 
 impl Order {
     /// # Errors
     /// The first reason for which it can't stand.
-    pub fn check(&self) -> Result<(), Fault> {
-        let part = |it: u16| if (1..=1_000).contains(&it) { Ok(()) } else { Err(Fault::Part(it)) };
-        match (self.steps.len(), &self.who) {
-            (0, _) => return Err(Fault::NoSteps),
-            (many, _) if many > MOST_STEPS => return Err(Fault::Steps(many)),
-            (_, Who::Part(it)) => part(*it)?,
+    pub fn check(&self) -> Result<(), OrderError> {
+        let part = |it: u16| if (1..=1_000).contains(&it) { Ok(()) } else { Err(OrderError::PerMille(it)) };
+        match (self.steps.len(), &self.scope) {
+            (0, _) => return Err(OrderError::NoSteps),
+            (many, _) if many > MOST_STEPS => return Err(OrderError::TooManySteps(many)),
+            (_, Scope::PerMille(it)) => part(*it)?,
             _ => {}
         }
         for step in &self.steps {
-            if let Step::Part(it) = step {
+            if let Step::PerMille(it) = step {
                 part(*it)?;
             }
         }
         let Bounds { fleet, most_out: most, ref zones, .. } = self.bounds;
         if zones.len() > MOST_ZONES {
-            return Err(Fault::Zones(zones.len()));
+            return Err(OrderError::TooManyZones(zones.len()));
         }
         if self.struck.len() > MOST_STRUCK {
-            return Err(Fault::Struck(self.struck.len()));
+            return Err(OrderError::TooManyStruck(self.struck.len()));
         }
         if most == 0 {
-            return Err(Fault::NobodyOut);
+            return Err(OrderError::MostOutZero);
         }
         if most >= fleet {
-            return Err(Fault::AllOut { most, fleet });
+            return Err(OrderError::MostOutNotBelowFleet { most, fleet });
         }
         for (zone, (has, most)) in zones {
             if *most == 0 || most > has {
-                return Err(Fault::Zone { zone: zone.clone(), has: *has, most: *most });
+                return Err(OrderError::ZoneBound { zone: zone.clone(), has: *has, most: *most });
             }
         }
         let sum: u32 = zones.values().map(|it| u32::from(it.0)).sum();
         if !zones.is_empty() && sum != u32::from(fleet) {
-            return Err(Fault::Sum { zones: sum, fleet });
+            return Err(OrderError::ZoneSum { zones: sum, fleet });
         }
         if !(500..=60_000).contains(&self.use_ms) {
-            return Err(Fault::Use(self.use_ms));
+            return Err(OrderError::UseTime(self.use_ms));
         }
         if !(100..=3_600_000).contains(&self.settle_ms) {
-            return Err(Fault::Settle(self.settle_ms));
+            return Err(OrderError::SettleTime(self.settle_ms));
         }
-        let bytes = self.bytes().len();
+        let bytes = self.encode().len();
         if bytes > MOST_BYTES {
-            return Err(Fault::Long(bytes));
+            return Err(OrderError::TooLong(bytes));
         }
         Ok(())
     }
 
-    pub fn bytes(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         let rest = postcard::to_allocvec(self).unwrap_or_default();
         std::iter::once(VERSION).chain(rest).collect()
     }
 
     /// `None` if it is of a version that is not known here, cut, or one that can't stand. Bytes after it are
     /// a later version's.
-    pub fn read(bytes: &[u8]) -> Option<Order> {
+    pub fn decode(bytes: &[u8]) -> Option<Order> {
         let (&VERSION, rest) = bytes.split_first()? else { return None };
         let order: Order = postcard::take_from_bytes(rest).ok()?.0;
         order.check().is_ok().then_some(order)
--- a/rollout/src/seen.rs
+++ b/rollout/src/seen.rs
@@ -1,9 +1,9 @@
-//! Who is whole, as one councillor sees it. Counted is the evidence of being there: whoever is not heard of
+//! Scope is whole, as one councillor sees it. Counted is the evidence of being there: whoever is not heard of
 //! is out.
 
 use crate::guards::Guards;
 use crate::order::Name;
-use crate::stand::Stand;
+use crate::stand::MemberStatus;
 use ottersail::time::Ms;
 use ottersail_membership::{Life, MemberId};
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 
 /// What the members' roster says of one that lives.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct RosterEntry {
     pub life: Life,
     pub name: Name,
     pub zone: Option<Name>,
@@ -30,7 +30,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Sight {
-    pub stand: Stand,
+    pub stand: MemberStatus,
     life: Life,
     /// When it was told, by the clock here: the time of receipt, less what it came later than the quickest.
     pub heard: Ms,
@@ -43,7 +43,7 @@
 pub(crate) struct Sights {
     fresh: Ms,
     guards: Guards,
-    pub roster: BTreeMap<MemberId, Seen>,
+    pub roster: BTreeMap<MemberId, RosterEntry>,
     sights: BTreeMap<MemberId, Sight>,
 }
 
@@ -53,13 +53,13 @@
     }
 
     /// Whoever was gone, or is another life, has to settle anew.
-    pub fn roster(&mut self, living: &BTreeMap<MemberId, Seen>) {
+    pub fn roster(&mut self, living: &BTreeMap<MemberId, RosterEntry>) {
         self.roster.clone_from(living);
         self.sights.retain(|id, it| living.get(id).is_some_and(|seen| seen.life == it.life));
     }
 
     /// Whether that says anything new of a life that the roster knows.
-    pub fn stand(&mut self, now: Ms, from: MemberId, life: Life, stand: &Stand) -> bool {
+    pub fn stand(&mut self, now: Ms, from: MemberId, life: Life, stand: &MemberStatus) -> bool {
         if self.roster.get(&from).is_none_or(|it| it.life != life) {
             return false;
         }
@@ -91,7 +91,7 @@
     }
 
     /// The last word of that life, however old.
-    pub fn told(&self, member: MemberId, life: Life) -> Option<&Stand> {
+    pub fn told(&self, member: MemberId, life: Life) -> Option<&MemberStatus> {
         self.sights.get(&member).filter(|it| it.life == life).map(|it| &it.stand)
     }
 
@@ -105,7 +105,7 @@
     }
 
     /// All that are seen whole, with what the roster says of them.
-    pub fn all_whole(&self, now: Ms, settle: Ms) -> impl Iterator<Item = (MemberId, &Seen, &Sight)> {
+    pub fn all_whole(&self, now: Ms, settle: Ms) -> impl Iterator<Item = (MemberId, &RosterEntry, &Sight)> {
         self.roster.iter().filter_map(move |(id, seen)| Some((*id, seen, self.whole(now, *id, settle)?)))
     }
 }
