--- a/rollout/src/serials.rs
+++ b/rollout/src/serials.rs
@@ -12,9 +12,9 @@
     /// evidence has halted, which an operator should be told.
     Put { if_revision: u64, lifts: bool },
     /// It is what stands; `stopped`: but for the halt by evidence, which stays.
-    Same { stopped: bool },
+    Same { halted: bool },
     /// Nothing is done, and why is told.
-    Not(Held),
+    Not(OrderNotPut),
 }
 
 /// What became of an order that was put.
@@ -26,12 +26,12 @@
     Again {
         if_revision: u64,
     },
-    Not(Held),
+    Not(OrderNotPut),
 }
 
 /// Why the order of a file is not put, and what an operator can do.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Held {
+pub enum OrderNotPut {
     #[error(
         "serial {file} is older than {agreed}, which is agreed: nothing done; write serial = {next} or above",
         file = file.0, agreed = agreed.0, next = agreed.next()
@@ -46,13 +46,13 @@
         "an order with serial {to} came first: nothing done; see what it orders, then write serial = {next}",
         to = to.0, next = to.next()
     )]
-    Lost { to: Serial },
+    Superseded { to: Serial },
     #[error(
-        "evidence halted serial {stopped} while serial {file} was put: nothing done; look at the evidence, \
+        "evidence halted serial {halted} while serial {file} was put: nothing done; look at the evidence, \
          then write serial = {next} to go on, or with state = back",
-        stopped = stopped.0, file = file.0, next = file.next()
+        halted = halted.0, file = file.0, next = file.next()
     )]
-    Stopped { stopped: Serial, file: Serial },
+    HaltedMeanwhile { halted: Serial, file: Serial },
 }
 
 impl Serial {
@@ -64,13 +64,13 @@
 
 /// The order halted by evidence: the same serial, since no operator changed it. `None` unless it says go: a
 /// way back is not halted by what the version that it leaves does.
-pub fn stopped(order: &Order) -> Option<Order> {
-    (order.state == State::Go).then(|| Order { state: State::Stopped, ..order.clone() })
+pub fn halted_by_evidence(order: &Order) -> Option<Order> {
+    (order.state == State::Go).then(|| Order { state: State::HaltedByEvidence, ..order.clone() })
 }
 
 /// What an operator wrote of an order that stands.
 fn written(order: &Order) -> Order {
-    let state = if order.state == State::Stopped { State::Go } else { order.state };
+    let state = if order.state == State::HaltedByEvidence { State::Go } else { order.state };
     Order { state, ..order.clone() }
 }
 
@@ -78,9 +78,9 @@
 fn differing(a: &Order, b: &Order) -> Vec<&'static str> {
     let all = [
         ("name", a.name != b.name),
-        ("who", a.who != b.who),
+        ("who", a.scope != b.scope),
         ("version", a.version != b.version),
-        ("before", a.before != b.before),
+        ("before", a.previous_version != b.previous_version),
         ("steps", a.steps != b.steps),
         ("settle-ms", a.settle_ms != b.settle_ms),
         ("use-ms", a.use_ms != b.use_ms),
@@ -89,9 +89,9 @@
         ("zones", a.bounds.zones != b.bounds.zones),
         ("least-holders", a.bounds.least_holders != b.bounds.least_holders),
         ("headroom", a.bounds.headroom != b.bounds.headroom),
-        ("halt-by", a.halts.by_evidence != b.halts.by_evidence),
-        ("alarms", a.halts.alarms != b.halts.alarms),
-        ("points", a.halts.points != b.halts.points),
+        ("halt-by", a.halt_policy.by_evidence != b.halt_policy.by_evidence),
+        ("alarms", a.halt_policy.alarms != b.halt_policy.alarms),
+        ("points", a.halt_policy.points != b.halt_policy.points),
         ("state", a.state != b.state),
         ("strike", a.struck != b.struck),
     ];
@@ -103,20 +103,20 @@
     let Some((revision, agreed)) = agreed else {
         return Given::Put { if_revision: 0, lifts: false };
     };
-    let stopped = agreed.state == State::Stopped;
+    let halted = agreed.state == State::HaltedByEvidence;
     if file.serial > agreed.serial {
-        return Given::Put { if_revision: revision, lifts: stopped && file.state == State::Go };
+        return Given::Put { if_revision: revision, lifts: halted && file.state == State::Go };
     }
     if file.serial < agreed.serial {
-        return Given::Not(Held::Older { agreed: agreed.serial, file: file.serial });
+        return Given::Not(OrderNotPut::Older { agreed: agreed.serial, file: file.serial });
     }
     // Without this the file that ordered a release would undo its halt by evidence at the next start of the
     // manager that holds it.
     let keys = differing(&written(agreed), file);
     if keys.is_empty() {
-        Given::Same { stopped }
+        Given::Same { halted }
     } else {
-        Given::Not(Held::Differs { serial: file.serial, keys })
+        Given::Not(OrderNotPut::Differs { serial: file.serial, keys })
     }
 }
 
@@ -130,11 +130,11 @@
         return Answered::Taken;
     }
     if order.serial >= file.serial {
-        return Answered::Not(Held::Lost { to: order.serial });
+        return Answered::Not(OrderNotPut::Superseded { to: order.serial });
     }
     // The operator wrote `go` before the halt and could not know of it: it is not lifted by chance.
-    if revision != asked && order.state == State::Stopped && file.state == State::Go {
-        return Answered::Not(Held::Stopped { stopped: order.serial, file: file.serial });
+    if revision != asked && order.state == State::HaltedByEvidence && file.state == State::Go {
+        return Answered::Not(OrderNotPut::HaltedMeanwhile { halted: order.serial, file: file.serial });
     }
     Answered::Again { if_revision: revision }
 }
@@ -142,9 +142,9 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::order::{Bounds, Halts, Name, Step, Who};
+    use crate::order::{Bounds, HaltPolicy, Name, Scope, Step};
     use test_case::test_case;
-    use State::{Back, Go, Halt, Stopped};
+    use State::{Back, Go, Halt, HaltedByEvidence as Stopped};
 
     fn order(serial: u64, state: State) -> Order {
         let name = |it| Name::new(it).unwrap();
@@ -152,34 +152,34 @@
         Order {
             serial: Serial(serial),
             name: name("spring"),
-            who: Who::All,
+            scope: Scope::All,
             version: name("2.0"),
-            before: name("1.9"),
-            steps: vec![Step::Count(1), Step::Part(1_000)],
+            previous_version: name("1.9"),
+            steps: vec![Step::Count(1), Step::PerMille(1_000)],
             settle_ms: 1_000,
             use_ms: 10_000,
             bounds: Bounds { fleet: 9, most_out: 2, zones, least_holders: 0, headroom: 0 },
-            halts: Halts { by_evidence: true, alarms: 100, points: 5 },
+            halt_policy: HaltPolicy { by_evidence: true, alarms: 100, points: 5 },
             state,
             struck: vec![],
         }
     }
 
     fn older(agreed: u64, file: u64) -> Given {
-        Given::Not(Held::Older { agreed: Serial(agreed), file: Serial(file) })
+        Given::Not(OrderNotPut::Older { agreed: Serial(agreed), file: Serial(file) })
     }
 
     fn in_state(serial: u64) -> Given {
-        Given::Not(Held::Differs { serial: Serial(serial), keys: vec!["state"] })
+        Given::Not(OrderNotPut::Differs { serial: Serial(serial), keys: vec!["state"] })
     }
 
     const PUT: Given = Given::Put { if_revision: 7, lifts: false };
 
     #[test_case(4, Go, 5, Halt => PUT; "newer")]
-    #[test_case(4, Go, 4, Go => Given::Same { stopped: false }; "read again")]
+    #[test_case(4, Go, 4, Go => Given::Same { halted: false }; "read again")]
     #[test_case(4, Go, 3, Go => older(4, 3); "an old file")]
     #[test_case(4, Go, 4, Halt => in_state(4); "changed without a serial")]
-    #[test_case(4, Stopped, 4, Go => Given::Same { stopped: true }; "read again after a halt by evidence")]
+    #[test_case(4, Stopped, 4, Go => Given::Same { halted: true }; "read again after a halt by evidence")]
     #[test_case(4, Stopped, 4, Back => in_state(4); "back without a serial after a halt by evidence")]
     #[test_case(4, Stopped, 4, Halt => in_state(4); "halt without a serial after a halt by evidence")]
     #[test_case(4, Stopped, 3, Go => older(4, 3); "an old file after a halt by evidence")]
@@ -196,7 +196,7 @@
     }
 
     fn lost(to: u64) -> Answered {
-        Answered::Not(Held::Lost { to: Serial(to) })
+        Answered::Not(OrderNotPut::Superseded { to: Serial(to) })
     }
 
     #[test_case(8, 5, Go, Go => Answered::Taken; "it stands")]
@@ -207,7 +207,7 @@
     #[test_case(7, 4, Stopped, Go => Answered::Again { if_revision: 7 }; "it lifts and never came there")]
     #[test_case(8, 4, Stopped, Halt => Answered::Again { if_revision: 8 }; "a halt after a halt by evidence")]
     #[test_case(8, 4, Stopped, Back => Answered::Again { if_revision: 8 }; "back after a halt by evidence")]
-    #[test_case(8, 4, Stopped, Go => Answered::Not(Held::Stopped { stopped: Serial(4), file: Serial(5) });
+    #[test_case(8, 4, Stopped, Go => Answered::Not(OrderNotPut::HaltedMeanwhile { halted: Serial(4), file: Serial(5) });
         "a halt by evidence came between")]
     fn serial_5_was_put_at_7(revision: u64, serial: u64, stands: State, says: State) -> Answered {
         answered(7, Some((revision, &order(serial, stands))), &order(5, says))
@@ -220,9 +220,9 @@
 
     #[test]
     fn a_halt_by_evidence_outlives_the_register_and_leaves_halt_and_back_alone() {
-        let halted = stopped(&order(4, Go)).unwrap();
-        assert_eq!(Order::read(&halted.bytes()), Some(order(4, Stopped)));
-        assert!([Halt, Back, Stopped].iter().all(|it| stopped(&order(4, *it)).is_none()));
+        let halted = halted_by_evidence(&order(4, Go)).unwrap();
+        assert_eq!(Order::decode(&halted.encode()), Some(order(4, Stopped)));
+        assert!([Halt, Back, Stopped].iter().all(|it| halted_by_evidence(&order(4, *it)).is_none()));
     }
 
     #[test]
--- a/rollout/src/tests/carry.rs
+++ b/rollout/src/tests/carry.rs
@@ -7,29 +7,29 @@
 
 #[derive(Default)]
 struct Out {
-    stands: Vec<Stand>,
+    stands: Vec<MemberStatus>,
     asks: Vec<(Key, Change)>,
-    notes: Vec<Note>,
+    notes: Vec<Event>,
 }
 
-impl Wishes for Out {
-    fn propose(&mut self, if_revision: u64, book: &Book) {
-        self.asks.push((Key::Book, Change::If(if_revision, book.bytes())));
+impl Effects for Out {
+    fn propose(&mut self, if_revision: u64, book: &PermitTable) {
+        self.asks.push((Key::PermitTable, Change::If(if_revision, book.encode())));
     }
     fn halt(&mut self, if_revision: u64, order: &Order) {
-        self.asks.push((Key::Order, Change::If(if_revision, order.bytes())));
+        self.asks.push((Key::Order, Change::If(if_revision, order.encode())));
     }
-    fn stand(&mut self, stand: &Stand) {
+    fn stand(&mut self, stand: &MemberStatus) {
         self.stands.push(stand.clone());
     }
-    fn note(&mut self, note: Note) {
+    fn note(&mut self, note: Event) {
         self.notes.push(note);
     }
 }
 
 impl World {
     /// Gives a member an input, and carries out what it wishes.
-    pub fn input(&mut self, node: usize, give: impl FnOnce(&mut Node, Ms, &mut dyn Wishes)) {
+    pub fn input(&mut self, node: usize, give: impl FnOnce(&mut Node, Ms, &mut dyn Effects)) {
         let (now, mut out) = (self.local(node), Out::default());
         let it = &mut self.nodes[node];
         give(it, now, &mut out);
@@ -44,7 +44,7 @@
         let at = self.now;
         self.notes.extend(out.notes.into_iter().map(|it| (at, it)));
         for stand in out.stands {
-            let body = Body::Stand(life, stand);
+            let body = Body::MemberStatus(life, stand);
             (0..self.councillors).for_each(|to| self.send(node, to, &body));
         }
         for (key, change) in out.asks {
@@ -91,11 +91,11 @@
         let outcome = match value {
             Some(((revision, _), true)) => Outcome::Done { revision },
             Some(((revision, body), false)) => {
-                Outcome::Other { revision, book: Book::read(&body).unwrap_or_default() }
+                Outcome::Other { revision, book: PermitTable::decode(&body).unwrap_or_default() }
             }
             None => Outcome::Unknown,
         };
-        if key == Key::Book {
+        if key == Key::PermitTable {
             self.input(node, |it, now, _| {
                 it.conductor.as_mut().into_iter().for_each(|it| it.answered(now, outcome.clone()));
             });
--- a/rollout/src/tests/conducting.rs
+++ b/rollout/src/tests/conducting.rs
@@ -8,25 +8,25 @@
 
 #[derive(Default)]
 struct Out {
-    books: Vec<(u64, Book)>,
+    books: Vec<(u64, PermitTable)>,
     halts: Vec<(u64, Order)>,
-    notes: Vec<Note>,
+    notes: Vec<Event>,
 }
 
-impl Wishes for Out {
-    fn propose(&mut self, if_revision: u64, book: &Book) {
+impl Effects for Out {
+    fn propose(&mut self, if_revision: u64, book: &PermitTable) {
         self.books.push((if_revision, book.clone()));
     }
     fn halt(&mut self, if_revision: u64, order: &Order) {
         self.halts.push((if_revision, order.clone()));
     }
-    fn stand(&mut self, _: &Stand) {}
-    fn note(&mut self, note: Note) {
+    fn stand(&mut self, _: &MemberStatus) {}
+    fn note(&mut self, note: Event) {
         self.notes.push(note);
     }
 }
 
-fn bell(conductor: &mut Conductor, at: f64) -> Out {
+fn bell(conductor: &mut Coordinator, at: f64) -> Out {
     let mut out = Out::default();
     conductor.conducts(Ms(at), true);
     conductor.bell(Ms(at + 100.0), &mut out);
@@ -46,9 +46,9 @@
     let mut conductor = councillor(ALL);
     conductor.verdict(Ms(13e3), "5 points more blocked");
     let out = bell(&mut conductor, 13e3);
-    let halted = Order { state: State::Stopped, ..go() };
+    let halted = Order { state: State::HaltedByEvidence, ..go() };
     assert_eq!((out.books.len(), out.halts), (0, vec![(7, halted.clone())]));
-    assert!(matches!(&out.notes[..], [Note::Evidence { why, .. }] if why.contains("5 points")));
+    assert!(matches!(&out.notes[..], [Event::Evidence { why, .. }] if why.contains("5 points")));
     conductor.ordered(Ms(14e3), 8, &halted);
     assert!(bell(&mut conductor, 14e3).halts.is_empty());
     assert_eq!(conductor.view(Ms(14e3)).unwrap().halted_by.as_deref(), Some("5 points more blocked"));
@@ -61,7 +61,7 @@
 fn a_holder_that_never_comes_back_is_named_once() {
     let mut conductor = councillor(ALL);
     conductor.booked(Ms(13e3), 1, &book(&[permit(3, 12_000)]));
-    let waits = |out: Out| out.notes.iter().filter(|it| matches!(it, Note::Waits { .. })).count();
+    let waits = |out: Out| out.notes.iter().filter(|it| matches!(it, Event::Waits { .. })).count();
     assert_eq!(waits(bell(&mut conductor, 49e3)), 0);
     let out = bell(&mut conductor, 51e3);
     assert!(out.notes.iter().any(|it| it.to_string().contains("(m3) has its permit for 38100")));
@@ -80,14 +80,14 @@
         for member in ALL {
             let released = *member == 3 && through > 0;
             let bad = if released { blocked * through } else { 0 };
-            let counts = Counts { asked: 20 * second, blocked: bad, ..Counts::default() };
-            let version = if released { go().version } else { go().before };
-            let told = Stand { counts, version, ..stand(second * 1_000) };
+            let counts = ViewingCounts { asked: 20 * second, blocked: bad, ..ViewingCounts::default() };
+            let version = if released { go().version } else { go().previous_version };
+            let told = MemberStatus { counts, version, ..stand(second * 1_000) };
             conductor.stand(Ms(now), id(*member), Life(1), &told);
         }
         halted = halted.or(bell(&mut conductor, now + 200.0).halts.pop());
     }
-    assert_eq!(halted.map(|it| (it.0, it.1.state)), halts.then_some((7, State::Stopped)));
+    assert_eq!(halted.map(|it| (it.0, it.1.state)), halts.then_some((7, State::HaltedByEvidence)));
     let told = conductor.view(Ms(90e3)).unwrap().halted_by;
     assert_eq!(told.is_some_and(|it| it.contains("viewings end badly at 1 released")), halts);
 }
@@ -101,8 +101,8 @@
     (order.bounds.fleet, order.bounds.zones) = (8, BTreeMap::new());
     conductor.ordered(Ms(13e3), 9, &order);
     for member in ALL {
-        let version = if *member == 8 { order.before.clone() } else { order.version.clone() };
-        conductor.stand(Ms(13e3), id(*member), Life(1), &Stand { version, order: 9, ..stand(13_000) });
+        let version = if *member == 8 { order.previous_version.clone() } else { order.version.clone() };
+        conductor.stand(Ms(13e3), id(*member), Life(1), &MemberStatus { version, order: 9, ..stand(13_000) });
     }
     let mut books = 0;
     for look in 0..20_u32 {
--- a/rollout/src/tests/council.rs
+++ b/rollout/src/tests/council.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Key {
     Order,
-    Book,
+    PermitTable,
 }
 
 #[derive(Clone, Debug)]
@@ -73,17 +73,16 @@
         self.registers.get(&key)?.accepted.as_ref().map(|it| &it.1)
     }
 
-    fn allows(&self, now: Ms, conductor: &Conductor, key: Key, to: &[u8], guards: Guards) -> bool {
-        let order = self.body(Key::Order).and_then(|it| Some((it.0, Order::read(&it.1)?)));
+    fn allows(&self, now: Ms, conductor: &Coordinator, key: Key, to: &[u8], guards: Guards) -> bool {
+        let order = self.body(Key::Order).and_then(|it| Some((it.0, Order::decode(&it.1)?)));
         match key {
-            Key::Order => {
-                Order::read(to).is_some_and(|it| follows(order.as_ref().map(|it| &it.1), &it, guards).is_ok())
-            }
-            Key::Book => {
+            Key::Order => Order::decode(to)
+                .is_some_and(|it| follows(order.as_ref().map(|it| &it.1), &it, guards).is_ok()),
+            Key::PermitTable => {
                 let order = order.as_ref().map(|it| (it.0, &it.1));
-                let from = self.body(Key::Book).and_then(|it| Book::read(&it.1));
-                let allows = |to: Book| conductor.allows(now, order, from.as_ref(), &to).is_ok();
-                Book::read(to).is_some_and(allows)
+                let from = self.body(Key::PermitTable).and_then(|it| PermitTable::decode(&it.1));
+                let allows = |to: PermitTable| conductor.allows(now, order, from.as_ref(), &to).is_ok();
+                PermitTable::decode(to).is_some_and(allows)
             }
         }
     }
@@ -103,7 +102,7 @@
         now: Ms,
         from: usize,
         round: Round,
-        conductor: &Conductor,
+        conductor: &Coordinator,
         guards: Guards,
     ) -> Vec<Say> {
         match round {
@@ -166,7 +165,7 @@
         let (done, body) = match &run.change {
             Change::If(expected, body) => (*expected == stands.0, body.clone()),
             Change::File(order) => {
-                (follows(Order::read(&stands.1).as_ref(), order, guards).is_ok(), order.bytes())
+                (follows(Order::decode(&stands.1).as_ref(), order, guards).is_ok(), order.encode())
             }
         };
         let value = if done && body != stands.1 { (stands.0 + 1, body) } else { stands };
--- a/rollout/src/tests/fleets.rs
+++ b/rollout/src/tests/fleets.rs
@@ -10,7 +10,7 @@
 fn release(members: usize, seed: u64) -> (f64, f64, usize) {
     let mut order = order(1, members, 3, "v2", State::Go);
     order.bounds.zones.clear();
-    order.steps = vec![Step::Count(1), Step::Part(50), Step::Part(250), Step::Part(1_000)];
+    order.steps = vec![Step::Count(1), Step::PerMille(50), Step::PerMille(250), Step::PerMille(1_000)];
     let judge = Judge::new(order.bounds.clone(), order.use_ms);
     let mut world = World::new(seed, members, 5, judge, Guards::all());
     world.start = (2.4e3, 2.6e3);
--- a/rollout/src/tests/histories.rs
+++ b/rollout/src/tests/histories.rs
@@ -15,14 +15,14 @@
     Order {
         serial: Serial(serial),
         name: name("day"),
-        who: Who::All,
+        scope: Scope::All,
         version: name(version),
-        before: name("v1"),
-        steps: vec![Step::Count(1), Step::Part(250), Step::Part(1_000)],
+        previous_version: name("v1"),
+        steps: vec![Step::Count(1), Step::PerMille(250), Step::PerMille(1_000)],
         settle_ms: 2_500,
         use_ms: 4_000,
         bounds: Bounds { fleet: members as u16, most_out, zones, least_holders: 0, headroom: 0 },
-        halts: Halts { by_evidence: true, alarms: 100, points: 5 },
+        halt_policy: HaltPolicy { by_evidence: true, alarms: 100, points: 5 },
         state,
         struck: vec![],
     }
--- a/rollout/src/tests/judge.rs
+++ b/rollout/src/tests/judge.rs
@@ -56,12 +56,12 @@
     pub fn accepted(&mut self, now: Ms, node: usize, ballot: Ballot, value: &Value, councillors: usize) {
         let by = self.accepted.entry(ballot).or_default();
         by.insert(node);
-        let Some(order) = Order::read(&value.1).filter(|_| by.len() > councillors / 2) else { return };
+        let Some(order) = Order::decode(&value.1).filter(|_| by.len() > councillors / 2) else { return };
         match self.halted {
             Some((serial, _)) if order.serial > serial => self.halted = None,
             _ => {}
         }
-        if matches!(order.state, State::Halt | State::Stopped) && self.halted.is_none() {
+        if matches!(order.state, State::Halt | State::HaltedByEvidence) && self.halted.is_none() {
             self.halted = Some((order.serial, now));
             self.halts += 1;
         }
--- a/rollout/src/tests/lives.rs
+++ b/rollout/src/tests/lives.rs
@@ -16,7 +16,7 @@
     }
 
     /// Once more with a fresh clock; then it goes, or takes again.
-    pub fn stopped(&mut self, node: usize, going: &Going) {
+    pub fn stopped(&mut self, node: usize, going: &UsablePermit) {
         self.nodes[node].leaving = false;
         let now = self.local(node);
         if !self.nodes[node].holder.still_in_time(now, going) {
@@ -59,14 +59,14 @@
         let it = &mut self.nodes[node];
         (it.life, it.up, it.started, it.bell) = (Life(it.life.0 + 1), true, self.now, Ms(f64::INFINITY));
         (it.version, it.known) = (version.clone(), BTreeMap::new());
-        it.holder = Holder::guarded(now, (id(node), it.life), version.clone(), PERIOD, guards);
+        it.holder = PermitHolder::guarded(now, (id(node), it.life), version.clone(), PERIOD, guards);
         if let Some(council) = &mut it.council {
             council.restart();
-            let mut conductor = Conductor::guarded(now, id(node), &all, PERIOD, guards);
+            let mut conductor = Coordinator::guarded(now, id(node), &all, PERIOD, guards);
             if let Some((revision, book)) =
-                council.registers.get(&Key::Book).and_then(|it| it.accepted.clone()).map(|it| it.1)
+                council.registers.get(&Key::PermitTable).and_then(|it| it.accepted.clone()).map(|it| it.1)
             {
-                conductor.accepted(now, revision, &Book::read(&book).unwrap_or_default());
+                conductor.accepted(now, revision, &PermitTable::decode(&book).unwrap_or_default());
             }
             it.conductor = Some(conductor);
         }
@@ -102,7 +102,8 @@
             self.nodes[node].heard[other] = (life, last);
             let state = if self.now - last < Ms(3e3) && !error { Presence::Alive } else { Presence::Suspect };
             if self.now - last < Ms(6e3) {
-                let seen = Seen { life, name: name(&format!("m{other}")), zone: Some(zone(other)), state };
+                let seen =
+                    RosterEntry { life, name: name(&format!("m{other}")), zone: Some(zone(other)), state };
                 living.insert(id(other), seen);
             }
         }
@@ -119,12 +120,12 @@
     fn tell(&mut self, now: Ms, key: Key, (revision, body): &Value) {
         match key {
             Key::Order => {
-                let order = Order::read(body).unwrap();
+                let order = Order::decode(body).unwrap();
                 self.holder.ordered(now, *revision, &order);
                 self.conductor.as_mut().into_iter().for_each(|it| it.ordered(now, *revision, &order));
             }
-            Key::Book => {
-                let book = Book::read(body).unwrap();
+            Key::PermitTable => {
+                let book = PermitTable::decode(body).unwrap();
                 self.holder.booked(now, *revision, &book);
                 self.conductor.as_mut().into_iter().for_each(|it| it.booked(now, *revision, &book));
             }
--- a/rollout/src/tests/tables.rs
+++ b/rollout/src/tests/tables.rs
@@ -11,29 +11,32 @@
 }
 
 pub fn permit(node: usize, asked: u64) -> Permit {
-    Permit { member: id(node), life: Life(1), asked: Stamp(asked), version: name("v2") }
+    Permit { member: id(node), life: Life(1), asked: MemberTime(asked), version: name("v2") }
 }
 
-pub fn book(permits: &[Permit]) -> Book {
-    Book { order: 7, serial: Serial(3), permits: permits.to_vec(), ended: false }
+pub fn book(permits: &[Permit]) -> PermitTable {
+    PermitTable { order: 7, serial: Serial(3), permits: permits.to_vec(), ended: false }
 }
 
 #[test]
 fn an_order_and_a_book_come_back_as_they_were() {
     let (order, book) = (go(), book(&[permit(1, 5), permit(2, u64::MAX)]));
-    assert_eq!(Order::read(&order.bytes()), Some(order.clone()));
-    assert_eq!(Book::read(&book.bytes()), Some(book.clone()));
+    assert_eq!(Order::decode(&order.encode()), Some(order.clone()));
+    assert_eq!(PermitTable::decode(&book.encode()), Some(book.clone()));
     // Bytes after it are a later version's.
-    assert_eq!(Order::read(&[order.bytes(), vec![1, 2]].concat()), Some(order.clone()));
-    assert_eq!(Book::read(&[book.bytes(), vec![1, 2]].concat()), Some(book.clone()));
-    for cut in 0..order.bytes().len() {
-        assert_eq!(Order::read(&order.bytes()[..cut]), None, "cut at {cut}");
+    assert_eq!(Order::decode(&[order.encode(), vec![1, 2]].concat()), Some(order.clone()));
+    assert_eq!(PermitTable::decode(&[book.encode(), vec![1, 2]].concat()), Some(book.clone()));
+    for cut in 0..order.encode().len() {
+        assert_eq!(Order::decode(&order.encode()[..cut]), None, "cut at {cut}");
     }
-    for cut in 0..book.bytes().len() {
-        assert_eq!(Book::read(&book.bytes()[..cut]), None, "cut at {cut}");
+    for cut in 0..book.encode().len() {
+        assert_eq!(PermitTable::decode(&book.encode()[..cut]), None, "cut at {cut}");
     }
     let another = |bytes: Vec<u8>| [vec![2], bytes[1..].to_vec()].concat();
-    assert_eq!((Order::read(&another(order.bytes())), Book::read(&another(book.bytes()))), (None, None));
+    assert_eq!(
+        (Order::decode(&another(order.encode())), PermitTable::decode(&another(book.encode()))),
+        (None, None)
+    );
 }
 
 #[test]
@@ -43,18 +46,18 @@
         let permit = |it: usize| Permit {
             member: MemberId(u64::MAX - 99 + it as u64),
             life: Life(u64::MAX),
-            asked: Stamp(u64::MAX),
+            asked: MemberTime(u64::MAX),
             version: long.clone(),
         };
-        Book { permits: (0..count).map(permit).collect(), ..book(&[]) }
+        PermitTable { permits: (0..count).map(permit).collect(), ..book(&[]) }
     };
-    assert_eq!(Book::read(&book(&[permit(1, 5), permit(1, 6)]).bytes()), None);
-    assert_eq!(Book::read(&book(&[permit(2, 5), permit(1, 6)]).bytes()), None);
-    assert!(Book::read(&full(MOST_PERMITS).bytes()).is_some());
-    assert_eq!(Book::read(&full(MOST_PERMITS + 1).bytes()), None);
+    assert_eq!(PermitTable::decode(&book(&[permit(1, 5), permit(1, 6)]).encode()), None);
+    assert_eq!(PermitTable::decode(&book(&[permit(2, 5), permit(1, 6)]).encode()), None);
+    assert!(PermitTable::decode(&full(MAX_PERMITS).encode()).is_some());
+    assert_eq!(PermitTable::decode(&full(MAX_PERMITS + 1).encode()), None);
     // Plain lengths of versions fit what a register takes.
-    let plain = (0..MOST_PERMITS).map(|it| Permit { version: name("2026.12.02"), ..permit(it, 1 << 40) });
-    assert!(book(&plain.collect::<Vec<_>>()).bytes().len() <= 600);
+    let plain = (0..MAX_PERMITS).map(|it| Permit { version: name("2026.12.02"), ..permit(it, 1 << 40) });
+    assert!(book(&plain.collect::<Vec<_>>()).encode().len() <= 600);
 }
 
 fn many_zones() -> BTreeMap<Name, (u16, u16)> {
@@ -63,8 +66,8 @@
 
 #[test_case(|it| it.steps.clear(), "steps = one"; "no steps")]
 #[test_case(|it| it.steps = vec![Step::Count(1); 9], "take some out"; "steps")]
-#[test_case(|it| it.steps = vec![Step::Part(0)], "from 1 to 1000"; "part of a step")]
-#[test_case(|it| it.who = Who::Part(1_001), "from 1 to 1000"; "part of whom")]
+#[test_case(|it| it.steps = vec![Step::PerMille(0)], "from 1 to 1000"; "part of a step")]
+#[test_case(|it| it.scope = Scope::PerMille(1_001), "from 1 to 1000"; "part of whom")]
 #[test_case(|it| it.struck = vec![name("m"); 9], "next serial"; "struck")]
 #[test_case(|it| it.bounds.most_out = 0, "state = halt"; "nobody out")]
 #[test_case(|it| it.bounds.most_out = 9, "some have to serve"; "all out")]
@@ -73,23 +76,23 @@
 #[test_case(|it| it.bounds.zones = many_zones(), "need a bound"; "zones")]
 #[test_case(|it| it.use_ms = 499, "500 to 60000"; "use")]
 #[test_case(|it| it.settle_ms = 99, "100 to 3600000"; "settle")]
-#[test_case(|it| it.who = Who::Named(vec![Name::new(&"n".repeat(32)).unwrap(); 20]), "shorter names"; "long")]
+#[test_case(|it| it.scope = Scope::Named(vec![Name::new(&"n".repeat(32)).unwrap(); 20]), "shorter names"; "long")]
 fn an_order_that_cannot_stand_says_why(spoil: fn(&mut Order), says: &str) {
     let mut order = go();
     assert_eq!(order.check(), Ok(()));
     spoil(&mut order);
     let fault = order.check().unwrap_err().to_string();
     assert!(fault.contains(says), "{fault}");
-    assert_eq!(Order::read(&order.bytes()), None);
+    assert_eq!(Order::decode(&order.encode()), None);
 }
 
 #[test_case(|it| it.serial = Serial(4), true; "a greater serial")]
-#[test_case(|it| it.state = State::Stopped, true; "the same halted by evidence")]
+#[test_case(|it| it.state = State::HaltedByEvidence, true; "the same halted by evidence")]
 #[test_case(|it| it.state = State::Halt, false; "the same halted by an operator")]
 #[test_case(|_| {}, true; "a reading written back")]
 #[test_case(|it| it.state = State::Back, false; "the same serial taken back")]
-#[test_case(|it| (it.state, it.version) = (State::Stopped, name("v9")), false; "a halt that changes more")]
-#[test_case(|it| (it.serial, it.state) = (Serial(2), State::Stopped), false; "an older halt")]
+#[test_case(|it| (it.state, it.version) = (State::HaltedByEvidence, name("v9")), false; "a halt that changes more")]
+#[test_case(|it| (it.serial, it.state) = (Serial(2), State::HaltedByEvidence), false; "an older halt")]
 fn an_order_follows(change: fn(&mut Order), follows_it: bool) {
     let mut to = go();
     change(&mut to);
@@ -99,17 +102,17 @@
 
 #[test]
 fn a_halt_by_evidence_is_not_undone_by_the_same_file() {
-    let halted = Order { state: State::Stopped, ..go() };
+    let halted = Order { state: State::HaltedByEvidence, ..go() };
     assert_eq!(follows(Some(&halted), &go(), Guards::all()), Err(Refusal::Serial { given: 3, stands: 3 }));
 }
 
 /// A councillor that has seen these of nine whole for 3 s, at 13 s; councillors are 0, 1 and 2.
-pub fn councillor(whole: &[usize]) -> Conductor {
+pub fn councillor(whole: &[usize]) -> Coordinator {
     let all = [0, 1, 2].map(id);
-    let mut conductor = Conductor::born(Ms(0.0), id(0), &all, PERIOD);
+    let mut conductor = Coordinator::born(Ms(0.0), id(0), &all, PERIOD);
     let seen = |it: usize| {
         let (zone, name) = (Some(zone(it)), name(&format!("m{it}")));
-        (id(it), Seen { life: Life(1), name, zone, state: Presence::Alive })
+        (id(it), RosterEntry { life: Life(1), name, zone, state: Presence::Alive })
     };
     conductor.roster(Ms(0.0), &whole.iter().map(|it| seen(*it)).collect::<BTreeMap<_, _>>());
     for at in [10, 11, 12, 13] {
@@ -126,9 +129,9 @@
     conductor
 }
 
-pub fn stand(at: u64) -> Stand {
-    let (going, never, counts) = (None, Stamp(0), Counts::default());
-    Stand { at: Stamp(at), version: name("v1"), whole: true, going, never, order: 7, counts }
+pub fn stand(at: u64) -> MemberStatus {
+    let (going, never, counts) = (None, MemberTime(0), ViewingCounts::default());
+    MemberStatus { at: MemberTime(at), version: name("v1"), whole: true, going, never, order: 7, counts }
 }
 
 pub const ALL: &[usize] = &[0, 1, 2, 3, 4, 5, 6, 7, 8];
@@ -155,13 +158,13 @@
 #[test_case(7, State::Back, "v2"; "with a version that is not led to")]
 fn a_permit_is_kept_out(named: u64, state: State, version: &str) {
     let (order, permit) = (Order { state, ..go() }, Permit { version: name(version), ..permit(3, 12_000) });
-    let to = Book { order: named, ..book(&[permit]) };
+    let to = PermitTable { order: named, ..book(&[permit]) };
     assert!(councillor(ALL).allows(Ms(13e3), Some((7, &order)), None, &to).is_err());
 }
 
 #[test]
 fn stands_count_for_seven_periods_and_from_when_they_were_told() {
-    let allowed = |conductor: &Conductor, at: f64| {
+    let allowed = |conductor: &Coordinator, at: f64| {
         conductor.allows(Ms(at), Some((7, &go())), None, &book(&[permit(3, 12_000)])).is_ok()
     };
     let mut conductor = councillor(ALL);
@@ -176,14 +179,14 @@
 #[test]
 fn a_permit_is_given_back_by_never_and_kept_by_silence() {
     let (from, order) = (book(&[permit(3, 12_000)]), go());
-    let gives = |conductor: &Conductor| {
+    let gives = |conductor: &Coordinator| {
         conductor.allows(Ms(13e3), Some((7, &order)), Some(&from), &book(&[])).is_ok()
     };
     let mut conductor = councillor(ALL);
     assert!(!gives(&conductor));
-    conductor.stand(Ms(13e3), id(3), Life(1), &Stand { never: Stamp(11_999), ..stand(13_000) });
+    conductor.stand(Ms(13e3), id(3), Life(1), &MemberStatus { never: MemberTime(11_999), ..stand(13_000) });
     assert!(!gives(&conductor));
-    conductor.stand(Ms(13e3), id(3), Life(1), &Stand { never: Stamp(12_000), ..stand(13_000) });
+    conductor.stand(Ms(13e3), id(3), Life(1), &MemberStatus { never: MemberTime(12_000), ..stand(13_000) });
     assert!(gives(&conductor));
 }
 
@@ -205,16 +208,16 @@
 #[test_case(2_000.0, State::Halt, 1, false; "halted")]
 #[test_case(2_000.0, State::Go, 2, false; "of another life")]
 fn a_holder_goes(at: f64, state: State, life: u64, goes: bool) {
-    let mut holder = Holder::born(Ms(0.0), (id(3), Life(life)), name("v1"), PERIOD);
+    let mut holder = PermitHolder::born(Ms(0.0), (id(3), Life(life)), name("v1"), PERIOD);
     holder.whole(Ms(0.0), true);
     holder.ordered(Ms(0.0), 7, &go());
     holder.booked(Ms(1.1e3), 1, &book(&[permit(3, 1_000)]));
-    let going = Going { stamp: Stamp(1_000), version: name("v2") };
+    let going = UsablePermit { stamp: MemberTime(1_000), version: name("v2") };
     assert_eq!(holder.wants_out(Ms(1.2e3)).is_some(), life == 1);
     holder.ordered(Ms(1.3e3), 8, &Order { state, serial: Serial(4), ..go() });
     // Whatever was asked for under another order is never used.
     assert_eq!(holder.wants_out(Ms(1.4e3)), None);
-    let mut holder = Holder::born(Ms(0.0), (id(3), Life(life)), name("v1"), PERIOD);
+    let mut holder = PermitHolder::born(Ms(0.0), (id(3), Life(life)), name("v1"), PERIOD);
     holder.ordered(Ms(0.0), 7, &Order { state, ..go() });
     holder.booked(Ms(1.1e3), 1, &book(&[permit(3, 1_000)]));
     assert_eq!(holder.still_in_time(Ms(at), &going), goes);
--- a/rollout/src/tests/world.rs
+++ b/rollout/src/tests/world.rs
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Debug)]
 pub enum Body {
-    Stand(Life, Stand),
+    MemberStatus(Life, MemberStatus),
     Round(Round),
     News(BTreeMap<Key, Value>),
     File(Order),
@@ -20,7 +20,7 @@
     Ready(Life),
     Start(Name),
     /// Nothing more is taken; the clock is looked at again.
-    Stopped(Life, Going),
+    Stopped(Life, UsablePermit),
 }
 
 /// What goes wrong by chance; all 0 when well.
@@ -45,8 +45,8 @@
     pub ready: bool,
     pub paused_until: Ms,
     pub known: BTreeMap<Key, Value>,
-    pub holder: Holder,
-    pub conductor: Option<Conductor>,
+    pub holder: PermitHolder,
+    pub conductor: Option<Coordinator>,
     pub council: Option<Councillor>,
     /// Of each member, for councillors: its life and when it was heard of last.
     pub heard: Vec<(Life, Ms)>,
@@ -64,7 +64,7 @@
     pub ill: Ill,
     pub guards: Guards,
     pub judge: Judge,
-    pub notes: Vec<(Ms, Note)>,
+    pub notes: Vec<(Ms, Event)>,
     /// Never gets ready.
     pub bad: Option<Name>,
     /// How long a start takes until it is whole, at least and at most.
@@ -92,9 +92,9 @@
         let node = |it: usize| {
             let (rate, offset) = (0.99 + 0.02 * chance.part(), chance.part() * 1e6);
             let (life, version, now) = (Life(it as u64 * 1_000 + 1), name("v1"), Ms(offset));
-            let holder = Holder::guarded(now, (id(it), life), version.clone(), PERIOD, guards);
+            let holder = PermitHolder::guarded(now, (id(it), life), version.clone(), PERIOD, guards);
             let conducts = it < councillors;
-            let conductor = conducts.then(|| Conductor::guarded(now, id(it), &all, PERIOD, guards));
+            let conductor = conducts.then(|| Coordinator::guarded(now, id(it), &all, PERIOD, guards));
             let council = conducts.then(|| Councillor::new(it, councillors));
             let heard = (0..members).map(|it| (Life(it as u64 * 1_000 + 1), Ms(0.0))).collect();
             Node {
@@ -198,7 +198,7 @@
                     it.conductor.as_mut().into_iter().for_each(|it| it.bell(now, out));
                 });
             }
-            Body::Stand(life, stand) => self.input(to, |it, now, _| {
+            Body::MemberStatus(life, stand) => self.input(to, |it, now, _| {
                 it.conductor.as_mut().into_iter().for_each(|it| it.stand(now, id(from), life, &stand));
             }),
             Body::News(values) => {
@@ -233,8 +233,8 @@
         let (Some(council), Some(conductor)) = (&mut it.council, &mut it.conductor) else { return };
         let says = council.round(now, from, round, conductor, guards);
         let accepted = matches!(says.first(), Some(Say::To(_, Round::Accepted(_))));
-        if let Some((Key::Book, _, value)) = what.as_ref().filter(|_| accepted) {
-            conductor.accepted(now, value.0, &Book::read(&value.1).unwrap_or_default());
+        if let Some((Key::PermitTable, _, value)) = what.as_ref().filter(|_| accepted) {
+            conductor.accepted(now, value.0, &PermitTable::decode(&value.1).unwrap_or_default());
         }
         if let Some((Key::Order, ballot, value)) = what.filter(|_| accepted) {
             self.judge.accepted(self.now, to, ballot, &value, self.councillors);
--- a/rollout/src/turn.rs
+++ b/rollout/src/turn.rs
@@ -1,11 +1,11 @@
 //! In which order they go, and how many in which step.
 
-use crate::book::{Book, Stamp};
-use crate::conductor::Conductor;
-use crate::notes::Note;
-use crate::order::{Name, Order, State, Who};
-use crate::seen::{Seen, Sight};
-use crate::wishes::Wishes;
+use crate::book::{MemberTime, PermitTable};
+use crate::conductor::Coordinator;
+use crate::notes::Event;
+use crate::order::{Name, Order, Scope, State};
+use crate::seen::{RosterEntry, Sight};
+use crate::wishes::Effects;
 use ottersail::time::Ms;
 use ottersail_membership::{Life, MemberId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,8 +24,8 @@
     pub fn leads_to(&self) -> Option<&Name> {
         match self.state {
             State::Go => Some(&self.version),
-            State::Back => Some(&self.before),
-            State::Halt | State::Stopped => None,
+            State::Back => Some(&self.previous_version),
+            State::Halt | State::HaltedByEvidence => None,
         }
     }
 
@@ -35,7 +35,7 @@
             State::Go => *has != self.version,
             // Only those that were released; whoever has yet another version is let be.
             State::Back => *has == self.version,
-            State::Halt | State::Stopped => false,
+            State::Halt | State::HaltedByEvidence => false,
         }
     }
 
@@ -46,13 +46,13 @@
     }
 }
 
-impl Conductor {
-    fn is_meant(&self, order: &Order, id: MemberId, seen: &Seen) -> bool {
-        let meant = match &order.who {
-            Who::All => true,
-            Who::Zone(zone) => seen.zone.as_ref() == Some(zone),
-            Who::Named(names) => names.contains(&seen.name),
-            Who::Part(part) => order.in_part(id, *part),
+impl Coordinator {
+    fn is_meant(&self, order: &Order, id: MemberId, seen: &RosterEntry) -> bool {
+        let meant = match &order.scope {
+            Scope::All => true,
+            Scope::Zone(zone) => seen.zone.as_ref() == Some(zone),
+            Scope::Named(names) => names.contains(&seen.name),
+            Scope::PerMille(part) => order.in_part(id, *part),
         };
         meant && !self.is_struck(order, id)
     }
@@ -60,28 +60,34 @@
     /// How many it is about, as far as that is known here.
     pub(crate) fn meant(&self, order: &Order) -> usize {
         let seen = || self.sights.roster.iter().filter(|it| self.is_meant(order, *it.0, it.1)).count();
-        let told = match &order.who {
-            Who::All => Some(usize::from(order.bounds.fleet)),
-            Who::Zone(zone) => order.bounds.zones.get(zone).map(|it| usize::from(it.0)),
-            Who::Named(names) => {
+        let told = match &order.scope {
+            Scope::All => Some(usize::from(order.bounds.fleet)),
+            Scope::Zone(zone) => order.bounds.zones.get(zone).map(|it| usize::from(it.0)),
+            Scope::Named(names) => {
                 return names.iter().filter(|it| !order.struck.contains(it)).count();
             }
-            Who::Part(_) => None,
+            Scope::PerMille(_) => None,
         };
         // Those struck are not waited for. In a zone all of them are taken to be of it.
         told.map_or_else(seen, |it| it.saturating_sub(order.struck.len()))
     }
 
     /// Whole, meant, and with nothing to do any more: as many as that.
-    pub(crate) fn through(&self, now: Ms, order: &Order, book: &Book) -> usize {
-        let there = |it: &(MemberId, &Seen, &Sight)| {
+    pub(crate) fn through(&self, now: Ms, order: &Order, book: &PermitTable) -> usize {
+        let there = |it: &(MemberId, &RosterEntry, &Sight)| {
             book.of(it.0).is_none() && self.is_meant(order, it.0, it.1) && !order.wants(&it.2.stand.version)
         };
         self.sights.all_whole(now, settle(order)).filter(there).count()
     }
 
     /// How many may be out or through. The way back has no steps: what is bad is to be gone.
-    pub(crate) fn limit(&mut self, now: Ms, order: &Order, book: &Book, out: &mut dyn Wishes) -> usize {
+    pub(crate) fn limit(
+        &mut self,
+        now: Ms,
+        order: &Order,
+        book: &PermitTable,
+        out: &mut dyn Effects,
+    ) -> usize {
         let (all, through) = (self.meant(order), self.through(now, order, book));
         if order.state != State::Go {
             return usize::MAX;
@@ -101,7 +107,7 @@
                 return count;
             }
             self.step = (level + 1, None);
-            out.note(Note::Step { serial: order.serial, step: level + 2, of: order.steps.len() });
+            out.note(Event::Step { serial: order.serial, step: level + 2, of: order.steps.len() });
         }
     }
 
@@ -120,10 +126,10 @@
         &self,
         now: Ms,
         order: &Order,
-        book: &Book,
+        book: &PermitTable,
         limit: usize,
         skip: &BTreeSet<MemberId>,
-    ) -> Option<(MemberId, Life, Stamp)> {
+    ) -> Option<(MemberId, Life, MemberTime)> {
         if book.permits.len() + self.through(now, order, book) >= limit {
             return None;
         }
@@ -132,12 +138,13 @@
         // Out or through, by zone.
         let mut done: BTreeMap<&Option<Name>, usize> = BTreeMap::new();
         let out = book.permits.iter().filter_map(|it| self.sights.roster.get(&it.member));
-        let there =
-            |it: &&(MemberId, &Seen, &Sight)| book.of(it.0).is_none() && !order.wants(&it.2.stand.version);
+        let there = |it: &&(MemberId, &RosterEntry, &Sight)| {
+            book.of(it.0).is_none() && !order.wants(&it.2.stand.version)
+        };
         for zone in out.chain(whole.iter().filter(there).map(|it| it.1)).map(|it| &it.zone) {
             *done.entry(zone).or_default() += 1;
         }
-        let may_go = |it: &&(MemberId, &Seen, &Sight)| {
+        let may_go = |it: &&(MemberId, &RosterEntry, &Sight)| {
             let (id, seen, Sight { stand, heard, .. }) = **it;
             let in_time = now - *heard <= Ms(f64::from(order.use_ms)) * 0.5;
             book.of(id).is_none()
@@ -150,7 +157,7 @@
                 && in_time
         };
         let forth = order.state == State::Go;
-        let key = |it: &&(MemberId, &Seen, &Sight)| {
+        let key = |it: &&(MemberId, &RosterEntry, &Sight)| {
             let hash = mixed(it.0, if forth { order.serial.0 } else { order.serial.0.wrapping_sub(1) });
             let last = self.councillors.contains(&it.0) == forth;
             // Whoever conducts goes last of all: each change of it settles the step anew.
@@ -167,17 +174,17 @@
 
     /// Whether nobody has anything to do any more under that order. Once told so, holders say nothing more,
     /// so it stays until one of them says that it has.
-    pub(crate) fn is_through(&self, now: Ms, order: &Order, book: &Book, ended: bool) -> bool {
+    pub(crate) fn is_through(&self, now: Ms, order: &Order, book: &PermitTable, ended: bool) -> bool {
         if !book.permits.is_empty() {
             return false;
         }
-        if matches!(order.state, State::Halt | State::Stopped) {
+        if matches!(order.state, State::Halt | State::HaltedByEvidence) {
             return true;
         }
         let (all, goal) = (self.meant(order), self.goal(order));
         // Those past the last step have still to go, and not under this order. Asked both ways: else a fleet told
         // smaller than it is ends and begins again at each look, a write to every disk each time.
-        let has_to = |it: (MemberId, &Seen, &Sight)| {
+        let has_to = |it: (MemberId, &RosterEntry, &Sight)| {
             self.is_meant(order, it.0, it.1) && order.wants(&it.2.stand.version)
         };
         let nobody_has_to = goal < all || !self.sights.all_whole(now, settle(order)).any(has_to);
--- a/rollout/src/view.rs
+++ b/rollout/src/view.rs
@@ -1,6 +1,6 @@
 //! What an operator is shown.
 
-use crate::conductor::Conductor;
+use crate::conductor::Coordinator;
 use crate::order::{Name, Serial, State};
 use crate::turn::settle;
 use ottersail::time::Ms;
@@ -8,20 +8,20 @@
 
 /// One permit that is not given back.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Out {
+pub struct OutstandingPermit {
     pub member: MemberId,
     /// Empty if it died before this councillor started.
     pub name: Name,
     pub version: Name,
     /// Since this councillor knows of it.
     pub since: Ms,
-    pub waits: Wait,
+    pub waits: WaitReason,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wait {
+pub enum WaitReason {
     /// It has not said yet that it goes.
-    Going,
+    NotLeft,
     /// It has gone, and nobody lives under that name.
     Gone,
     /// Another life of it lives and has not been seen whole for the settling time.
@@ -30,7 +30,7 @@
 
 /// A release as one councillor sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct View {
+pub struct ReleaseView {
     pub serial: Serial,
     pub name: Name,
     pub state: State,
@@ -40,10 +40,10 @@
     pub through: usize,
     /// How many it is about.
     pub meant: usize,
-    /// Seen whole now, of the fleet as told.
+    /// RosterEntry whole now, of the fleet as told.
     pub whole: usize,
     pub fleet: usize,
-    pub out: Vec<Out>,
+    pub out: Vec<OutstandingPermit>,
     /// Alive, and not seen whole, without a permit.
     pub not_whole: Vec<Name>,
     /// Came back with another version than their permit said.
@@ -52,22 +52,22 @@
     pub halted_by: Option<String>,
 }
 
-impl Conductor {
+impl Coordinator {
     /// `None` without an order.
-    pub fn view(&self, now: Ms) -> Option<View> {
+    pub fn view(&self, now: Ms) -> Option<ReleaseView> {
         let (revision, order) = self.order.as_ref()?;
         let book = &self.book.1;
         let out = book.permits.iter().map(|it| {
             let living = self.sights.roster.get(&it.member);
             let going = self.sights.told(it.member, it.life).is_some_and(|it| it.going.is_some());
             let waits = match living {
-                Some(seen) if seen.life != it.life => Wait::Settling,
-                Some(_) if !going => Wait::Going,
-                _ => Wait::Gone,
+                Some(seen) if seen.life != it.life => WaitReason::Settling,
+                Some(_) if !going => WaitReason::NotLeft,
+                _ => WaitReason::Gone,
             };
             let name = self.names.get(&it.member).map(|it| it.name.clone()).unwrap_or_default();
             let since = self.known.get(it).copied().unwrap_or(now);
-            Out { member: it.member, name, version: it.version.clone(), since, waits }
+            OutstandingPermit { member: it.member, name, version: it.version.clone(), since, waits }
         });
         let whole = self.sights.all_whole(now, settle(order)).count();
         let unseen =
@@ -77,7 +77,7 @@
         let ended = book.ended && book.order == *revision;
         // Once it has ended nobody says anything any more.
         let through = if ended { self.goal(order) } else { self.through(now, order, book) };
-        Some(View {
+        Some(ReleaseView {
             serial: order.serial,
             name: order.name.clone(),
             state: order.state,
--- a/rollout/src/watch.rs
+++ b/rollout/src/watch.rs
@@ -1,7 +1,7 @@
 //! Where evidence of a bad version meets the conductor: those released against the others, window by window, until
 //! there is a verdict.
 
-use crate::conductor::Conductor;
+use crate::conductor::Coordinator;
 use crate::evidence::{Evidence, Figures, Told, Verdict, What};
 use crate::order::{Order, State};
 use crate::turn::settle;
@@ -48,16 +48,16 @@
     }
 }
 
-impl Conductor {
+impl Coordinator {
     /// One window, if it is time for one: all that are seen whole, so that neither a start nor an end counts.
     pub(crate) fn weigh(&mut self, now: Ms, order: &Order) {
         let early = self.watch.weigh_at.is_some_and(|it| now < it);
-        let goes = order.state == State::Go && order.halts.by_evidence;
+        let goes = order.state == State::Go && order.halt_policy.by_evidence;
         if early || !goes || self.watch.verdict.is_some() {
             return;
         }
         self.watch.weigh_at = Some(now + self.period * WINDOW);
-        let told = |stand: &crate::Stand, life| Told {
+        let told = |stand: &crate::MemberStatus, life| Told {
             life,
             released: stand.version == order.version,
             counts: stand.counts,
@@ -65,7 +65,7 @@
         let whole = self.sights.all_whole(now, settle(order));
         let members: BTreeMap<_, _> =
             whole.map(|(id, seen, sight)| (id, told(&sight.stand, seen.life))).collect();
-        let evidence = self.watch.evidence.get_or_insert_with(|| Evidence::new(order.halts));
+        let evidence = self.watch.evidence.get_or_insert_with(|| Evidence::new(order.halt_policy));
         if let Some(verdict) = evidence.window(&members) {
             self.verdict(now, &verdict.to_string());
         }
