--- a/bench-adapter/src/wire/host.rs
+++ b/bench-adapter/src/wire/host.rs
@@ -3,10 +3,10 @@
 use super::errors::Flaw;
 use super::reply::Reply;
 use super::values::{bytes, hint, ms, outcome, wanted, Read, Values};
-use ottersail::answers::Answers;
-use ottersail::ids::{BellTag, Rung, TenantIx, TuneInNo};
+use ottersail::actions::PlacementActions;
+use ottersail::ids::{Rung, TenantIndex, TimerTag, TuneInIndex};
 use ottersail::placement::Placement;
-use ottersail::state::{Entry, ListMode, Topic, Wish};
+use ottersail::state::{ListMode, ServerEntry, Topic, ViewingRequest};
 use ottersail::time::Ms;
 use ottersail_platform::errors::shown;
 use ottersail_platform::load::load;
@@ -35,7 +35,7 @@
 pub struct Host {
     placements: BTreeMap<String, Placement>,
     ever_born: BTreeSet<String>,
-    pub sheets: BTreeMap<u64, Rc<[Entry]>>,
+    pub sheets: BTreeMap<u64, Rc<[ServerEntry]>>,
 }
 
 impl Host {
@@ -64,7 +64,7 @@
         mut values: Values,
         now: Ms,
         instance: &str,
-        out: &mut dyn Answers,
+        out: &mut dyn PlacementActions,
     ) -> Read<()> {
         if name == "BORN" {
             let seed = values.number("salt")?;
@@ -72,7 +72,7 @@
             let conf =
                 serde_json::from_str(conf).map_err(|source| Flaw::Settings { read: shown(conf), source })?;
             self.ever_born.insert(instance.to_string());
-            self.placements.insert(instance.to_string(), Placement::born(now, seed, read_terms(&conf), out));
+            self.placements.insert(instance.to_string(), Placement::new(now, seed, read_terms(&conf), out));
             return Ok(());
         }
         if name == "CRASH_NOW" {
@@ -99,10 +99,10 @@
                 let sheet = values.optional::<u64>("sheet")?;
                 values.end()?;
                 if mode == ListMode::Failed {
-                    placement.members(now, mode, &[], out);
+                    placement.update_servers(now, mode, &[], out);
                 } else {
                     match sheet.and_then(|sheet| self.sheets.get(&sheet)) {
-                        Some(entries) => placement.members(now, mode, entries, out),
+                        Some(entries) => placement.update_servers(now, mode, entries, out),
                         None => return wanted(&format!("{sheet:?}"), "a sheet that was registered"),
                     }
                 }
@@ -124,9 +124,19 @@
                     return wanted(priority, "a class of the settings");
                 };
                 let tenant = tenant(placement, owner);
-                placement.incoming(
+                placement.request_viewing(
                     now,
-                    Wish { vw, package, tenant, title, base, copies, best, due, lasts },
+                    ViewingRequest {
+                        viewing: vw,
+                        package,
+                        tenant,
+                        title,
+                        first_cell: base,
+                        cell_count: copies,
+                        max_rung: best,
+                        deadline: due,
+                        expected_duration: lasts,
+                    },
                     out,
                 );
             }
@@ -136,7 +146,7 @@
                 let owner = values.text("owner")?;
                 values.text("item")?;
                 let title = values.text("title")?.into();
-                let due = values.optional::<i64>("due-ns")?.map_or(Ms::LONG_AGO, ms);
+                let due = values.optional::<i64>("due-ns")?.map_or(Ms::DISTANT_PAST, ms);
                 let expected = values.optional::<i64>("expected-ns")?;
                 let base = values.number("base")?;
                 let copies = values.number("cells-in-row")?;
@@ -148,8 +158,18 @@
                     return wanted(priority, "a class of the settings");
                 };
                 let tenant = tenant(placement, owner);
-                let wish = Wish { vw, package, tenant, title, base, copies, best, due, lasts };
-                placement.preexisting(now, wish, server, out);
+                let wish = ViewingRequest {
+                    viewing: vw,
+                    package,
+                    tenant,
+                    title,
+                    first_cell: base,
+                    cell_count: copies,
+                    max_rung: best,
+                    deadline: due,
+                    expected_duration: lasts,
+                };
+                placement.adopt_viewing(now, wish, server, out);
             }
             "CHANGE" => {
                 let vw = values.text("handle")?.into();
@@ -165,13 +185,13 @@
                 let server = values.text("server")?.into();
                 values.end()?;
                 if let Some(topic) = topic {
-                    placement.change(now, &vw, topic, value, &server, out);
+                    placement.note_received(now, &vw, topic, value, &server, out);
                 }
             }
             "BELL" => {
-                let tag = BellTag(values.number("tag")?);
+                let tag = TimerTag(values.number("tag")?);
                 values.end()?;
-                placement.bell(now, tag, out);
+                placement.timer_fired(now, tag, out);
             }
             "FIRST" => {
                 let vw = values.text("handle")?.into();
@@ -179,23 +199,23 @@
                 values.optional::<u64>("leg")?;
                 let server = values.text("server")?.into();
                 values.end()?;
-                placement.first(now, &vw, &server, out);
+                placement.viewing_started(now, &vw, &server, out);
             }
             "ANSWER" => {
                 let vw = values.text("handle")?.into();
-                let no = TuneInNo(values.number("leg")?);
+                let no = TuneInIndex(values.number("leg")?);
                 let server = values.text("server")?.into();
                 let ending = outcome(values.text("ending")?)?;
                 values.optional::<i64>("elapsed-ns")?;
                 let last = values.optional::<u8>("last")? == Some(1);
                 let load = load(values.text("load")?)?;
                 values.end()?;
-                placement.answer(now, &vw, no, &server, ending, last, load, out);
+                placement.tune_in_ended(now, &vw, no, &server, ending, last, load, out);
             }
             "DROPPED" => {
                 let vw = values.text("handle")?.into();
                 values.end()?;
-                placement.dropped(now, &vw, out);
+                placement.viewer_left(now, &vw, out);
             }
             "ECHO" => {
                 let server = values.text("server")?.into();
@@ -203,7 +223,7 @@
                 values.optional::<i64>("elapsed-ns")?;
                 let load = load(values.text("load")?)?;
                 values.end()?;
-                placement.echo(now, &server, ending, load, out);
+                placement.probe_ended(now, &server, ending, load, out);
             }
             "DATAGRAM" => {
                 // The managers of this module tell each other nothing; a message is only checked.
@@ -217,6 +237,6 @@
     }
 }
 
-fn tenant(placement: &Placement, owner: &str) -> Option<TenantIx> {
+fn tenant(placement: &Placement, owner: &str) -> Option<TenantIndex> {
     placement.tenant_named(owner)
 }
--- a/bench-adapter/src/wire/reply.rs
+++ b/bench-adapter/src/wire/reply.rs
@@ -1,7 +1,7 @@
 //! The module's answers as lines.
 
-use ottersail::answers::Answers;
-use ottersail::ids::{BellTag, Rung, ServerId, ViewingId};
+use ottersail::actions::PlacementActions;
+use ottersail::ids::{Rung, ServerId, TimerTag, ViewingId};
 use ottersail::time::Ms;
 use std::io::{self, Write};
 
@@ -21,8 +21,8 @@
     }
 }
 
-impl<W: Write> Answers for Reply<'_, W> {
-    fn relay(&mut self, vw: &ViewingId, server: &ServerId, time_out: Ms) {
+impl<W: Write> PlacementActions for Reply<'_, W> {
+    fn tune_in(&mut self, vw: &ViewingId, server: &ServerId, time_out: Ms) {
         let cap = (time_out.0 * 1e6).floor().max(1.0) as i64;
         self.line("RELAY", format_args!(" {vw} {cap} {server}"));
     }
@@ -45,7 +45,7 @@
         self.line("ERROR", format_args!(" {vw}"));
     }
 
-    fn schedule(&mut self, tag: BellTag, at: Ms) {
+    fn schedule(&mut self, tag: TimerTag, at: Ms) {
         let ns = (at.0 * 1e6).ceil() as i64;
         self.line("SCHEDULE", format_args!(" {} {ns}", tag.0));
     }
@@ -54,7 +54,7 @@
         self.line("SUBSCRIBE", format_args!(" 1"));
     }
 
-    fn inspect(&mut self, server: &ServerId) {
+    fn probe(&mut self, server: &ServerId) {
         self.line("INSPECT", format_args!(" {server}"));
     }
 }
--- a/bench-adapter/src/wire/values.rs
+++ b/bench-adapter/src/wire/values.rs
@@ -2,7 +2,7 @@
 
 use super::errors::Flaw;
 use ottersail::ids::Cell;
-use ottersail::state::{Availability, Entry, Outcome};
+use ottersail::state::{Availability, Outcome, ServerEntry};
 use ottersail::time::Ms;
 use ottersail_platform::errors::shown;
 use std::str::FromStr;
@@ -96,13 +96,13 @@
     })
 }
 
-pub fn entry(line: &str) -> Read<Entry> {
+pub fn entry(line: &str) -> Read<ServerEntry> {
     let mut values = Values::of(line);
     match values.text("a list entry")? {
         "M" => {}
         other => return wanted(other, "a list entry starting with M"),
     }
-    let entry = Entry {
+    let entry = ServerEntry {
         kind: values.text("shape")?.into(),
         cell: Cell(values.number("cell")?),
         availability: match values.text("availability")? {
--- a/bench/src/library.rs
+++ b/bench/src/library.rs
@@ -3,10 +3,12 @@
 use crate::errors::BenchError;
 use ottersail_daemon::run::house;
 use ottersail_daemon::settings::manager::{read_manager, Manager};
+use ottersail_front::config::PlacementConfig;
 use ottersail_front::decisions::Decisions;
 use ottersail_front::ids::{Rung, ServerId, ViewingId};
-use ottersail_front::terms::Terms;
-use ottersail_front::{Answers, AskId, Asked, Front, Ms, Orders, Placement, Reply, SetUp, SetUpEnd};
+use ottersail_front::{
+    Effects, Front, Ms, Placement, PlacementActions, Reply, RequestId, SetUp, SetUpEnd, TitleRequest,
+};
 use ottersail_signed_urls::Keys;
 use ottersail_wire::catalogue::{Listed, Standing, Title};
 use ottersail_wire::notes::Note;
@@ -67,26 +69,26 @@
     refused: usize,
 }
 
-impl Orders for Out {
+impl Effects for Out {
     fn set_up(&mut self, it: &SetUp) {
-        self.set_ups.push((it.vw.clone(), it.no));
+        self.set_ups.push((it.viewing.clone(), it.tune_in));
     }
-    fn call_off(&mut self, _: &ViewingId, _: usize, _: &ServerId, _: &str) {}
+    fn cancel_set_up(&mut self, _: &ViewingId, _: usize, _: &ServerId, _: &str) {}
     fn change_rung(&mut self, vw: &ViewingId, _: &ServerId, _: &str, rung: Rung) {
         self.steps.push((vw.clone(), rung));
     }
-    fn let_go(&mut self, vw: &ViewingId, _: &ServerId, _: &str) {
+    fn end_viewing(&mut self, vw: &ViewingId, _: &ServerId, _: &str) {
         self.let_go.push(vw.clone());
     }
-    fn reply(&mut self, _: AskId, reply: Reply) {
+    fn reply(&mut self, _: RequestId, reply: Reply) {
         match reply {
             Reply::Playlist(_) => self.played += 1,
             _ => self.refused += 1,
         }
     }
-    fn listen(&mut self, _: &ServerId, _: &str) {}
+    fn open_notes(&mut self, _: &ServerId, _: &str) {}
     fn probe(&mut self, _: &ServerId, _: &str) {}
-    fn hang_up(&mut self, _: &ServerId) {}
+    fn close_notes(&mut self, _: &ServerId) {}
 }
 
 /// A front on a fake clock.
@@ -99,23 +101,23 @@
 
 impl Bed {
     pub fn new(servers: usize, link_kb: f64) -> Result<Bed, BenchError> {
-        Bed::with(servers, link_kb, |terms, out| Box::new(Placement::born(Ms(1e6), 1, terms, out)))
+        Bed::with(servers, link_kb, |terms, out| Box::new(Placement::new(Ms(1e6), 1, terms, out)))
     }
 
     /// With other decisions.
     pub fn with(
         servers: usize,
         link_kb: f64,
-        decisions: impl FnOnce(Terms, &mut dyn Answers) -> Box<dyn Decisions>,
+        decisions: impl FnOnce(PlacementConfig, &mut dyn PlacementActions) -> Box<dyn Decisions>,
     ) -> Result<Bed, BenchError> {
         let manager = manager(servers, "127.0.0.1:1", "127.0.0.1:1", link_kb)?;
         let mut out = Out::default();
         let house = house(&manager, keys()?);
-        let mut front = Front::with(Ms(1e6), manager.terms, house, &mut out, decisions);
+        let mut front = Front::with_decisions(Ms(1e6), manager.terms, house, &mut out, decisions);
         let list: Vec<Listed> =
             (0..servers).map(|it| listed(it, format!("127.0.0.1:{}", 1000 + it))).collect();
-        front.titled(Ms(1e6), &titles(servers));
-        front.listed(Ms(1e6), 1, &list, &mut out);
+        front.titles_listed(Ms(1e6), &titles(servers));
+        front.servers_listed(Ms(1e6), 1, &list, &mut out);
         Ok(Bed { front, out, now: 1e6, asks: 0 })
     }
 
@@ -129,8 +131,9 @@
     pub fn ask(&mut self) -> Vec<(String, usize)> {
         self.asks += 1;
         let title = format!("t-{}", self.asks as usize * 31 % TITLES);
-        let asked = Asked { title, package: "clips".into(), tenant: None, best: 3, patience: 4000.0 };
-        self.front.asked(Ms(self.now), AskId(self.asks), asked, &mut self.out);
+        let asked =
+            TitleRequest { title, package: "clips".into(), tenant: None, max_rung: 3, patience_ms: 4000.0 };
+        self.front.request_title(Ms(self.now), RequestId(self.asks), asked, &mut self.out);
         self.out.set_ups.drain(..).map(|(vw, no)| (vw.to_string(), no)).collect()
     }
 
@@ -143,7 +146,7 @@
             self.front.rung_changed(Ms(self.now), &vw, rung.0, Some(PLAYLIST), &mut self.out);
         }
         while let Some(vw) = self.out.let_go.pop() {
-            self.front.let_go(Ms(self.now), &vw, &mut self.out);
+            self.front.end_confirmed(Ms(self.now), &vw, &mut self.out);
         }
     }
 }
@@ -173,12 +176,12 @@
             bed.now += 0.01;
             let note = Note::Load(Report { link: Some(0.5), ..Report::default() });
             let server = ServerId::from(format!("box-{}", it % SERVERS).as_str());
-            bed.front.noted(Ms(bed.now), &server, &note, &mut bed.out);
+            bed.front.note_received(Ms(bed.now), &server, &note, &mut bed.out);
         }
         let note = began.elapsed().as_secs_f64() * 1e6 / TRIES as f64;
         println!(
             "{:>13}   {set_up:>9.0}   {note:>7.0}   played {} refused {}",
-            bed.front.viewings(),
+            bed.front.viewing_count(),
             bed.out.played,
             bed.out.refused
         );
@@ -200,19 +203,19 @@
     for count in viewings {
         while bed.asks < *count as u64 {
             bed.now += 60.0;
-            while bed.front.next_due().is_some_and(|it| it.0 <= bed.now) {
-                bed.front.time_has_come(Ms(bed.now), &mut bed.out);
+            while bed.front.next_timer().is_some_and(|it| it.0 <= bed.now) {
+                bed.front.run_due_timers(Ms(bed.now), &mut bed.out);
             }
             bed.set_up();
         }
         for _ in 0..100 {
             bed.now += 1000.0;
-            bed.front.time_has_come(Ms(bed.now), &mut bed.out);
+            bed.front.run_due_timers(Ms(bed.now), &mut bed.out);
             while let Some(vw) = bed.out.let_go.pop() {
-                bed.front.let_go(Ms(bed.now), &vw, &mut bed.out);
+                bed.front.end_confirmed(Ms(bed.now), &vw, &mut bed.out);
             }
         }
-        println!("{:>14}   {:>11}   {:>10}", bed.asks, resident_kb(), bed.front.viewings());
+        println!("{:>14}   {:>11}   {:>10}", bed.asks, resident_kb(), bed.front.viewing_count());
     }
     Ok(())
 }
--- a/bench/src/managing.rs
+++ b/bench/src/managing.rs
@@ -31,7 +31,7 @@
     let exec = executor();
     let spent: Rc<Cell<Duration>> = Rc::default();
     let (timed, random) = (spent.clone(), pick == "random");
-    let front = Front::with(
+    let front = Front::with_decisions(
         Ms(clock.now()),
         manager.terms.clone(),
         house(&manager, keys()?),
@@ -40,7 +40,7 @@
             let of: Box<dyn Decisions> = if random {
                 Box::new(Baseline::new(terms, Pick::LowestRung, 1))
             } else {
-                Box::new(Placement::born(Ms(clock.now()), 1, terms, out))
+                Box::new(Placement::new(Ms(clock.now()), 1, terms, out))
             };
             Box::new(Timed { of, spent: timed })
         },
@@ -55,7 +55,7 @@
     let before = cpu();
     block_on(exec.run(until(stopped)));
     let owner = &running.owner;
-    let (held, count) = owner.front(|it| (it.viewings(), it.counts().asked.max(1)));
+    let (held, count) = owner.front(|it| (it.viewing_count(), it.counts().asked.max(1)));
     let each = |it: Duration| it.as_secs_f64() * 1e6 / count as f64;
     println!("{} {} {} {held}", each(cpu() - before), each(owner.spent.get()), each(spent.get()));
     Ok(())
--- a/bench/src/scale/cluster.rs
+++ b/bench/src/scale/cluster.rs
@@ -6,7 +6,7 @@
 use ottersail_daemon::settings::members::Members;
 use ottersail_daemon::settings::write::{write_manager, Post};
 use ottersail_fault_injection::Process;
-use ottersail_front::ids::ManagerIx;
+use ottersail_front::ids::ManagerIndex;
 use ottersail_front::Ms;
 use std::fs::File;
 use std::io::{Read, Write};
@@ -131,9 +131,9 @@
             let told = manager(1, &listen, &list, 2_000_000.0)?;
             let mut terms = told.terms.clone();
             let is_member = ix < plan.members;
-            (terms.me, terms.managers) = (ManagerIx(ix as u64), plan.members as f64);
+            (terms.manager, terms.manager_count) = (ManagerIndex(ix as u64), plan.members as f64);
             if !is_member {
-                (terms.me, terms.managers) = (ManagerIx(0), 1.0);
+                (terms.manager, terms.manager_count) = (ManagerIndex(0), 1.0);
             }
             let udp = |ix| SocketAddrV4::new(ip(ix), PORTS.0);
             let members = Members {
--- a/bench/src/timed.rs
+++ b/bench/src/timed.rs
@@ -1,9 +1,9 @@
 //! Decisions, and the time that they take.
 
-use ottersail_front::decisions::{Decisions, Ended};
-use ottersail_front::ids::{BellTag, PackageIx, ServerId, TenantIx, ViewingId};
-use ottersail_front::state::{Entry, ListMode, Load, Outcome, Topic, Wish};
-use ottersail_front::{Answers, Ms};
+use ottersail_front::decisions::{Decisions, TuneInEnd};
+use ottersail_front::ids::{PackageIndex, ServerId, TenantIndex, TimerTag, ViewingId};
+use ottersail_front::state::{ListMode, Load, Outcome, ServerEntry, Topic, ViewingRequest};
+use ottersail_front::{Ms, PlacementActions};
 use std::time::{Duration, Instant};
 
 /// Adds up the time that decisions take.
@@ -22,51 +22,77 @@
 }
 
 impl Decisions for Timed {
-    fn package_named(&self, name: &str) -> Option<PackageIx> {
+    fn package_named(&self, name: &str) -> Option<PackageIndex> {
         self.of.package_named(name)
     }
 
-    fn tenant_named(&self, name: &str) -> Option<TenantIx> {
+    fn tenant_named(&self, name: &str) -> Option<TenantIndex> {
         self.of.tenant_named(name)
     }
 
-    fn members(&mut self, now: Ms, mode: ListMode, entries: &[Entry], out: &mut dyn Answers) {
-        self.time(|it| it.members(now, mode, entries, out));
+    fn update_servers(
+        &mut self,
+        now: Ms,
+        mode: ListMode,
+        entries: &[ServerEntry],
+        out: &mut dyn PlacementActions,
+    ) {
+        self.time(|it| it.update_servers(now, mode, entries, out));
     }
 
-    fn incoming(&mut self, now: Ms, wish: Wish, out: &mut dyn Answers) {
-        self.time(|it| it.incoming(now, wish, out));
+    fn request_viewing(&mut self, now: Ms, wish: ViewingRequest, out: &mut dyn PlacementActions) {
+        self.time(|it| it.request_viewing(now, wish, out));
     }
 
-    fn bell(&mut self, now: Ms, tag: BellTag, out: &mut dyn Answers) {
-        self.time(|it| it.bell(now, tag, out));
+    fn timer_fired(&mut self, now: Ms, tag: TimerTag, out: &mut dyn PlacementActions) {
+        self.time(|it| it.timer_fired(now, tag, out));
     }
 
-    fn first(&mut self, now: Ms, vw: &ViewingId, server: &ServerId, out: &mut dyn Answers) {
-        self.time(|it| it.first(now, vw, server, out));
+    fn viewing_started(
+        &mut self,
+        now: Ms,
+        vw: &ViewingId,
+        server: &ServerId,
+        out: &mut dyn PlacementActions,
+    ) {
+        self.time(|it| it.viewing_started(now, vw, server, out));
     }
 
-    fn answer(&mut self, now: Ms, vw: &ViewingId, ended: Ended, load: Load, out: &mut dyn Answers) {
-        self.time(|it| it.answer(now, vw, ended, load, out));
+    fn tune_in_ended(
+        &mut self,
+        now: Ms,
+        vw: &ViewingId,
+        ended: TuneInEnd,
+        load: Load,
+        out: &mut dyn PlacementActions,
+    ) {
+        self.time(|it| it.tune_in_ended(now, vw, ended, load, out));
     }
 
-    fn change(
+    fn note_received(
         &mut self,
         now: Ms,
         vw: &ViewingId,
         topic: Topic,
         value: f64,
         server: &ServerId,
-        out: &mut dyn Answers,
+        out: &mut dyn PlacementActions,
     ) {
-        self.time(|it| it.change(now, vw, topic, value, server, out));
+        self.time(|it| it.note_received(now, vw, topic, value, server, out));
     }
 
-    fn dropped(&mut self, now: Ms, vw: &ViewingId, out: &mut dyn Answers) {
-        self.time(|it| it.dropped(now, vw, out));
+    fn viewer_left(&mut self, now: Ms, vw: &ViewingId, out: &mut dyn PlacementActions) {
+        self.time(|it| it.viewer_left(now, vw, out));
     }
 
-    fn echo(&mut self, now: Ms, server: &ServerId, outcome: Outcome, load: Load, out: &mut dyn Answers) {
-        self.time(|it| it.echo(now, server, outcome, load, out));
+    fn probe_ended(
+        &mut self,
+        now: Ms,
+        server: &ServerId,
+        outcome: Outcome,
+        load: Load,
+        out: &mut dyn PlacementActions,
+    ) {
+        self.time(|it| it.probe_ended(now, server, outcome, load, out));
     }
 }
--- a/daemon/src/fleet/council.rs
+++ b/daemon/src/fleet/council.rs
@@ -47,7 +47,7 @@
 pub(super) struct Outs {
     pub tells: Vec<Out>,
     pub keeps: Vec<keeper::Wish>,
-    pub part: Option<ottersail_front::Part>,
+    pub part: Option<ottersail_front::SlotShare>,
     /// The module is told less: once it is, [`Council::shrunk`].
     pub shrunk: bool,
     pub riders: Vec<(Topic, Vec<u8>)>,
@@ -100,7 +100,7 @@
         let (seat, keeper) = Seat::born(now, &terms, opened);
         let own = Head { slots: told.slots, lease_ms: told.lease_ms, drift_ppm: told.drift_ppm };
         let cold = manager.terms.cold.send_window();
-        let number = (manager.terms.me.0, manager.terms.managers);
+        let number = (manager.terms.manager.0, manager.terms.manager_count);
         lines::begins(&told.councillors, &seat);
         let born = |it: &crate::settings::releases::Releases| {
             Releases::born(now, me, it.version.clone(), (&terms.councillors, members.period))
--- a/daemon/src/fleet/council/carry.rs
+++ b/daemon/src/fleet/council/carry.rs
@@ -4,7 +4,7 @@
 use crate::fleet::Fleet;
 use crate::owner::Owner;
 use ottersail::time::Ms;
-use ottersail_front::tape::Told;
+use ottersail_front::recording::FrontInput;
 use ottersail_membership::{MemberId, Topic};
 use ottersail_net::Timer;
 use ottersail_rollout::{Counts, Name, Order};
@@ -98,7 +98,7 @@
         if owner.front(|it| it.is_draining()) {
             return;
         }
-        owner.tell(&Told::Drain);
+        owner.tell(&FrontInput::Drain);
         let now = self.now();
         let in_time = |it: &mut Council| it.still_in_time(now, &going);
         if self.counsel.council.borrow_mut().as_mut().is_some_and(in_time) {
@@ -106,7 +106,7 @@
             _ = self.counsel.out.0.try_send(going.version);
         } else {
             warn!(target: "releases", "a permit ran out before it was used: viewings are taken again");
-            owner.tell(&Told::Resume);
+            owner.tell(&FrontInput::Resume);
         }
     }
 
@@ -124,7 +124,7 @@
     fn stands(&self, council: &mut Council, now: Ms) {
         let Some(owner) = self.counsel.owner.upgrade() else { return };
         let clock = ottersail_front::Ms(owner.clock.now());
-        let (whole, it) = owner.front(|it| (it.whole(clock), it.counts()));
+        let (whole, it) = owner.front(|it| (it.is_ready(clock), it.counts()));
         let (set_ups, set_up_ms) = owner.set_ups();
         let counts = Counts {
             // Whoever is not even taken is blocked to its viewer.
@@ -168,10 +168,10 @@
         }
         if let Some(mut part) = part {
             if let (Some(owner), Some(ahead)) = (self.counsel.owner.upgrade(), self.ahead()) {
-                if part.until > 0.0 {
-                    part.until += ahead;
+                if part.lease_end_ms > 0.0 {
+                    part.lease_end_ms += ahead;
                 }
-                owner.tell(&Told::Part { part });
+                owner.tell(&FrontInput::SlotShareChanged { share: part });
             }
         }
         Some(shrunk)
--- a/daemon/src/fleet/council/leave_tests.rs
+++ b/daemon/src/fleet/council/leave_tests.rs
@@ -35,7 +35,7 @@
     it.bell(Ms(0.0), &mut Outs::default());
     let mut outs = Outs::default();
     it.bell(Ms(400.0), &mut outs);
-    assert_eq!(outs.part.map(|it| it.leased), Some(vec![0, 1]));
+    assert_eq!(outs.part.map(|it| it.leased_slots), Some(vec![0, 1]));
     it
 }
 
@@ -54,7 +54,7 @@
     let mut first = Outs::default();
     council.leave(Ms(500.0), &mut first);
     let part = first.part.as_ref().unwrap();
-    assert_eq!((part.kept, part.leased.len(), part.until, first.shrunk), (35, 0, 0.0, true));
+    assert_eq!((part.own_slot, part.leased_slots.len(), part.lease_end_ms, first.shrunk), (35, 0, 0.0, true));
     assert_eq!(given_back(&first), (0, 0), "what goes out before the module is told");
     assert!(!council.gave_all_back());
     let mut then = Outs::default();
--- a/daemon/src/fleet/council/share.rs
+++ b/daemon/src/fleet/council/share.rs
@@ -4,7 +4,7 @@
 //! or takes: with the council gone a manager acts on that alone, and all parts are the whole at most.
 
 use ottersail::time::Ms;
-use ottersail_front::Part;
+use ottersail_front::SlotShare;
 use ottersail_leases::{Holder, Slot};
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
     since: BTreeMap<Slot, Ms>,
     /// The lease's end, by the members' clock.
     until: Ms,
-    told: Option<Part>,
+    told: Option<SlotShare>,
     /// When a slot has been held for long enough, or the lease ends.
     bell: Ms,
     /// The lease ran out since the last look at that.
@@ -42,7 +42,7 @@
     }
 
     pub fn told(&self) -> usize {
-        self.told.as_ref().map_or(0, |it| it.leased.len())
+        self.told.as_ref().map_or(0, |it| it.leased_slots.len())
     }
 
     /// Slots held now, whether the module may use them yet or not.
@@ -56,7 +56,7 @@
 
     /// What the module is to be told, if that is other than before; `anyway` if somebody waits for it. Its
     /// `until` is by the members' clock yet.
-    pub fn look(&mut self, now: Ms, holder: Option<&Holder>, anyway: bool) -> Option<Part> {
+    pub fn look(&mut self, now: Ms, holder: Option<&Holder>, anyway: bool) -> Option<SlotShare> {
         let part = holder.and_then(|it| it.holds(now));
         // One slot's lease may end before the others': only an end of all of them is worth a line.
         if part.is_none() && !self.since.is_empty() && now >= self.until {
@@ -82,12 +82,17 @@
         let (number, managers) = self.number;
         let kept = u64::from(self.slots) + number;
         let of = f64::from(self.slots) + managers;
-        let next = Part { kept, leased, of, until: part.map_or(0.0, |it| it.until.0 .0) };
+        let next = SlotShare {
+            own_slot: kept,
+            leased_slots: leased,
+            total_slots: of,
+            lease_end_ms: part.map_or(0.0, |it| it.until.0 .0),
+        };
         let new = anyway || self.told.as_ref() != Some(&next);
         if new {
             let was = self.told();
-            if was != next.leased.len() {
-                let (slots, held) = (next.leased.len(), self.since.len());
+            if was != next.leased_slots.len() {
+                let (slots, held) = (next.leased_slots.len(), self.since.len());
                 tracing::info!(target: "parts", was, slots, held, of, "part");
             }
             self.told = Some(next.clone());
--- a/daemon/src/fleet/council/share_tests.rs
+++ b/daemon/src/fleet/council/share_tests.rs
@@ -43,7 +43,10 @@
 fn without_a_lease_the_kept_slot_alone_is_told_and_once() {
     let (mut share, holder) = (share(), holder());
     let part = share.look(Ms(0.0), Some(&holder), false).unwrap();
-    assert_eq!((part.kept, part.leased.len(), part.of, part.until), (35, 0, 37.0, 0.0));
+    assert_eq!(
+        (part.own_slot, part.leased_slots.len(), part.total_slots, part.lease_end_ms),
+        (35, 0, 37.0, 0.0)
+    );
     assert_eq!(share.look(Ms(1.0), None, false), None);
     assert!(share.look(Ms(2.0), None, true).is_some(), "somebody waits for it");
 }
@@ -53,11 +56,11 @@
     let (mut share, mut holder) = (share(), holder());
     holds(&mut holder, Ms(10.0), 1, 2);
     let part = share.look(Ms(10.0), Some(&holder), false).unwrap();
-    assert_eq!((part.leased.len(), part.until), (0, 1_010.0));
+    assert_eq!((part.leased_slots.len(), part.lease_end_ms), (0, 1_010.0));
     assert_eq!((share.held().count(), share.bell_at()), (2, Ms(310.0)));
     assert_eq!(share.look(Ms(309.0), Some(&holder), false), None);
     let part = share.look(Ms(310.0), Some(&holder), false).unwrap();
-    assert_eq!((part.leased, share.bell_at()), (vec![0, 1], Ms(1_010.0)));
+    assert_eq!((part.leased_slots, share.bell_at()), (vec![0, 1], Ms(1_010.0)));
 }
 
 #[test]
@@ -65,11 +68,11 @@
     let (mut share, mut holder) = (share(), holder());
     holds(&mut holder, Ms(0.0), 1, 2);
     share.look(Ms(0.0), Some(&holder), false);
-    assert_eq!(share.look(Ms(400.0), Some(&holder), false).unwrap().leased.len(), 2);
+    assert_eq!(share.look(Ms(400.0), Some(&holder), false).unwrap().leased_slots.len(), 2);
     let part = share.look(Ms(1_500.0), Some(&holder), false).unwrap();
-    assert_eq!((part.leased.len(), part.until, share.ran_out()), (0, 0.0, 1));
+    assert_eq!((part.leased_slots.len(), part.lease_end_ms, share.ran_out()), (0, 0.0, 1));
     renewed(&mut holder, Ms(1_500.0));
     let part = share.look(Ms(1_500.0), Some(&holder), false).unwrap();
-    assert_eq!((part.leased.len(), share.held().count()), (0, 2));
-    assert_eq!(share.look(Ms(1_800.0), Some(&holder), false).unwrap().leased.len(), 2);
+    assert_eq!((part.leased_slots.len(), share.held().count()), (0, 2));
+    assert_eq!(share.look(Ms(1_800.0), Some(&holder), false).unwrap().leased_slots.len(), 2);
 }
--- a/daemon/src/metrics.rs
+++ b/daemon/src/metrics.rs
@@ -107,10 +107,10 @@
         registry.register(name, help, counter);
     }
     let gauges = [
-        ("waiting", "Requests that wait for their answer", front.waiting()),
-        ("watches", "Viewers who watch", front.watches()),
-        ("viewings", "Viewings held, set-ups included", front.viewings()),
-        ("servers", "Servers in the list", front.servers()),
+        ("waiting", "Requests that wait for their answer", front.waiting_requests()),
+        ("watches", "Viewers who watch", front.watch_count()),
+        ("viewings", "Viewings held, set-ups included", front.viewing_count()),
+        ("servers", "Servers in the list", front.server_count()),
         ("connections", "Connections open to players", open),
     ];
     for (name, help, value) in gauges {
--- a/daemon/src/owner.rs
+++ b/daemon/src/owner.rs
@@ -11,8 +11,8 @@
 use hands::Hands;
 use ottersail_cores::Room;
 use ottersail_front::ids::ViewingId;
-use ottersail_front::tape::{Scribe, Told};
-use ottersail_front::{AskId, Front, Ms};
+use ottersail_front::recording::{EffectRecorder, FrontInput};
+use ottersail_front::{Front, Ms, RequestId};
 use ottersail_net::{slept, Clock, Server, Timer};
 pub use record::Tape;
 use std::cell::{Cell, OnceCell, RefCell};
@@ -30,7 +30,7 @@
     front: RefCell<Front>,
     last: Cell<f64>,
     tape: RefCell<Option<Tape>>,
-    slots: RefCell<BTreeMap<AskId, (Arc<Slot>, String)>>,
+    slots: RefCell<BTreeMap<RequestId, (Arc<Slot>, String)>>,
     cores: Vec<Arc<Core>>,
     /// The core that sees to a viewing, from its first set-up on: what is done for one viewing is done in
     /// order, so that a set-up is closed before the next goes out, also where its core stands still in
@@ -98,36 +98,45 @@
         }
     }
 
-    fn happened(&self, told: Told, slot: Option<(Arc<Slot>, String)>) {
-        if let (Some((slot, trace)), Told::Asked { ask, .. } | Told::Reloaded { ask, .. }) = (slot, &told) {
+    fn happened(&self, told: FrontInput, slot: Option<(Arc<Slot>, String)>) {
+        if let (
+            Some((slot, trace)),
+            FrontInput::TitleRequested { request: ask, .. }
+            | FrontInput::PlaylistRequested { request: ask, .. },
+        ) = (slot, &told)
+        {
             if !slot.claim.take() {
                 // Answered while it waited for the owner: nothing may be done for it any more.
                 return;
             }
             self.slots.borrow_mut().insert(*ask, (slot, trace));
         }
-        if let (Told::Asked { .. }, Some(fleet)) = (&told, self.fleet.get()) {
+        if let (FrontInput::TitleRequested { .. }, Some(fleet)) = (&told, self.fleet.get()) {
             fleet.arrived();
         }
-        if let Told::Left { ask } = &told {
+        if let FrontInput::RequestClosed { request: ask } = &told {
             self.slots.borrow_mut().remove(ask);
         }
         self.tell(&told);
     }
 
     /// Tells the front that something happened, and sees to what it wants.
-    pub fn tell(&self, told: &Told) {
+    pub fn tell(&self, told: &FrontInput) {
         let now = self.clock.now().max(self.last.get());
         self.last.set(now);
         let began = Instant::now();
         let mut front = self.front.borrow_mut();
         let mut tape = self.tape.borrow_mut();
         match tape.as_mut() {
-            None => told.tell(&mut front, Ms(now), &mut Hands(self)),
+            None => told.apply(&mut front, Ms(now), &mut Hands(self)),
             Some(open) => {
                 let mut lines = Vec::new();
                 let mut hands = Hands(self);
-                told.tell(&mut front, Ms(now), &mut Scribe { lines: &mut lines, out: Some(&mut hands) });
+                told.apply(
+                    &mut front,
+                    Ms(now),
+                    &mut EffectRecorder { lines: &mut lines, effects: Some(&mut hands) },
+                );
                 if let Err(trouble) = open.line(now, self.core_of_told(told), told, &lines) {
                     warn!(%trouble, "the record can't be written any more; it ends here");
                     *tape = None;
@@ -135,7 +144,7 @@
             }
         }
         self.spent.set(self.spent.get() + began.elapsed());
-        let due = front.next_due().map_or(f64::INFINITY, |it| it.0);
+        let due = front.next_timer().map_or(f64::INFINITY, |it| it.0);
         if due < self.armed.get() {
             _ = self.rearm.0.try_send(());
         }
@@ -158,7 +167,7 @@
     /// Rings when the front wants to be rung.
     pub async fn ring(self: Rc<Owner>) {
         loop {
-            let due = self.front(|it| it.next_due()).map_or(f64::INFINITY, |it| it.0);
+            let due = self.front(|it| it.next_timer()).map_or(f64::INFINITY, |it| it.0);
             self.armed.set(due);
             let wait = async {
                 if due.is_finite() {
@@ -172,8 +181,8 @@
                 _ = self.rearm.1.recv().await;
             })
             .await;
-            if self.front(|it| it.next_due()).is_some_and(|it| it.0 <= self.clock.now()) {
-                self.tell(&Told::TimeHasCome);
+            if self.front(|it| it.next_timer()).is_some_and(|it| it.0 <= self.clock.now()) {
+                self.tell(&FrontInput::TimersDue);
             }
             self.sweep();
             // Other tasks have their turn between two rings, however many are due.
@@ -181,15 +190,17 @@
         }
     }
 
-    fn core_of_told(&self, told: &Told) -> usize {
+    fn core_of_told(&self, told: &FrontInput) -> usize {
         match told {
-            Told::Asked { ask, .. } | Told::Reloaded { ask, .. } | Told::Left { ask } => {
-                ask.0 as usize % self.cores.len()
+            FrontInput::TitleRequested { request: ask, .. }
+            | FrontInput::PlaylistRequested { request: ask, .. }
+            | FrontInput::RequestClosed { request: ask } => ask.0 as usize % self.cores.len(),
+            FrontInput::SetUpEnded { viewing: vw, .. }
+            | FrontInput::RungChanged { viewing: vw, .. }
+            | FrontInput::EndConfirmed { viewing: vw } => self.core_of(vw),
+            FrontInput::NoteReceived { server, .. } | FrontInput::ServerLost { server } => {
+                self.core_of(server)
             }
-            Told::SetUpEnded { vw, .. } | Told::RungChanged { vw, .. } | Told::LetGo { vw } => {
-                self.core_of(vw)
-            }
-            Told::Noted { server, .. } | Told::ServerLost { server } => self.core_of(server),
             _ => 0,
         }
     }
@@ -205,7 +216,7 @@
     }
 
     /// Settles which core does a viewing's errands from now on.
-    fn settle_at(&self, vw: &ViewingId, ask: Option<AskId>) {
+    fn settle_at(&self, vw: &ViewingId, ask: Option<RequestId>) {
         let asker = ask.map_or(0, |it| it.0 as usize % self.cores.len());
         let mut room = self.room.borrow_mut();
         room.look(self.clock.now(), slept().as_secs_f64() * 1e3);
@@ -218,7 +229,7 @@
         let mut homes = self.homes.borrow_mut();
         if homes.len() >= self.sweep_homes_at.get() {
             let front = self.front.borrow();
-            homes.retain(|vw, _| front.holds(vw));
+            homes.retain(|vw, _| front.holds_viewing(vw));
             self.sweep_homes_at.set((homes.len() * 2).max(1024));
         }
     }
--- a/daemon/src/owner/hands.rs
+++ b/daemon/src/owner/hands.rs
@@ -3,25 +3,27 @@
 use super::Owner;
 use crate::post::Errand;
 use ottersail_front::ids::{Rung, ServerId, ViewingId};
-use ottersail_front::{AskId, Orders, Reply, SetUp};
+use ottersail_front::{Effects, Reply, RequestId, SetUp};
 use std::sync::PoisonError;
 
 /// Sends each wish to the core that sees to it.
 pub(super) struct Hands<'a>(pub(super) &'a Owner);
 
-impl Orders for Hands<'_> {
+impl Effects for Hands<'_> {
     fn set_up(&mut self, it: &SetUp) {
         let slots = self.0.slots.borrow();
-        let trace = it.ask.and_then(|ask| slots.get(&ask)).map_or(String::new(), |it| it.1.clone());
-        self.0.settle_at(&it.vw, it.ask);
-        let vw = it.vw.to_string();
-        let path =
-            format!("/viewings/{vw}/{}?title={}&package={}&rung={}", it.no, it.title, it.package, it.rung.0);
-        let (no, address, send_by) = (it.no, it.address.clone(), it.send_by.0);
-        self.0.send(self.0.home(&it.vw), Errand::SetUp { vw, no, address, path, trace, send_by });
+        let trace = it.request.and_then(|ask| slots.get(&ask)).map_or(String::new(), |it| it.1.clone());
+        self.0.settle_at(&it.viewing, it.request);
+        let vw = it.viewing.to_string();
+        let path = format!(
+            "/viewings/{vw}/{}?title={}&package={}&rung={}",
+            it.tune_in, it.title, it.package, it.rung.0
+        );
+        let (no, address, send_by) = (it.tune_in, it.address.clone(), it.send_by.0);
+        self.0.send(self.0.home(&it.viewing), Errand::SetUp { vw, no, address, path, trace, send_by });
     }
 
-    fn call_off(&mut self, vw: &ViewingId, no: usize, _: &ServerId, address: &str) {
+    fn cancel_set_up(&mut self, vw: &ViewingId, no: usize, _: &ServerId, address: &str) {
         let (name, address) = (vw.to_string(), address.to_string());
         self.0.send(self.0.home(vw), Errand::CallOff { vw: name, no, address });
     }
@@ -31,12 +33,12 @@
         self.0.send(self.0.home(vw), Errand::ChangeRung { vw: name, address, rung });
     }
 
-    fn let_go(&mut self, vw: &ViewingId, _: &ServerId, address: &str) {
+    fn end_viewing(&mut self, vw: &ViewingId, _: &ServerId, address: &str) {
         let (name, address) = (vw.to_string(), address.to_string());
         self.0.send(self.0.home(vw), Errand::LetGo { vw: name, address });
     }
 
-    fn reply(&mut self, ask: AskId, reply: Reply) {
+    fn reply(&mut self, ask: RequestId, reply: Reply) {
         if let Some((slot, _)) = self.0.slots.borrow_mut().remove(&ask) {
             self.0.times.answered(&reply, self.0.clock.now() - slot.began);
             *slot.reply.lock().unwrap_or_else(PoisonError::into_inner) = Some(reply);
@@ -44,12 +46,12 @@
         }
     }
 
-    fn listen(&mut self, server: &ServerId, address: &str) {
+    fn open_notes(&mut self, server: &ServerId, address: &str) {
         let (server, address) = (server.to_string(), address.to_string());
         self.0.send(self.0.core_of(&server), Errand::Listen { server, address });
     }
 
-    fn hang_up(&mut self, server: &ServerId) {
+    fn close_notes(&mut self, server: &ServerId) {
         let server = server.to_string();
         self.0.send(self.0.core_of(&server), Errand::HangUp { server });
     }
--- a/daemon/src/owner/record.rs
+++ b/daemon/src/owner/record.rs
@@ -1,6 +1,6 @@
 //! The record of a manager, a line for each thing told.
 
-use ottersail_front::tape::Told;
+use ottersail_front::recording::FrontInput;
 use std::fs::File;
 use std::io::{BufWriter, Write};
 
@@ -22,7 +22,7 @@
         &mut self,
         at: f64,
         core: usize,
-        told: &Told,
+        told: &FrontInput,
         wanted: &[String],
     ) -> std::io::Result<()> {
         let line = serde_json::json!({ "at": at, "core": core, "told": told, "wanted": wanted });
--- a/daemon/src/post.rs
+++ b/daemon/src/post.rs
@@ -2,8 +2,8 @@
 
 use async_channel::{Receiver, Sender};
 use ottersail_cores::{vigil, Claim};
-use ottersail_front::tape::Told;
-use ottersail_front::{AskId, Reply};
+use ottersail_front::recording::FrontInput;
+use ottersail_front::{Reply, RequestId};
 use ottersail_net::Line;
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -31,7 +31,7 @@
 /// To the owner.
 pub enum News {
     /// Something happened; with the request that it is about, if it is one that waits.
-    Happened { told: Told, slot: Option<(Arc<Slot>, String)> },
+    Happened { told: FrontInput, slot: Option<(Arc<Slot>, String)> },
     /// The page of figures is asked for.
     Page(Sender<String>),
 }
@@ -127,7 +127,7 @@
 pub struct Core {
     pub errands: Outbox,
     /// Requests that wait there.
-    pub waiting: Mutex<std::collections::BTreeMap<AskId, Arc<Slot>>>,
+    pub waiting: Mutex<std::collections::BTreeMap<RequestId, Arc<Slot>>>,
     pub open: std::sync::atomic::AtomicUsize,
     pub answered: AtomicU64,
     /// When it last moved, in whole milliseconds since 1970.
--- a/daemon/src/rehearse.rs
+++ b/daemon/src/rehearse.rs
@@ -39,7 +39,7 @@
         plan.day.seed = seed;
     }
     if let Some(managers) = asked.managers.filter(|it| *it > 0) {
-        (plan.day.managers, plan.terms.managers) = (managers, managers as f64);
+        (plan.day.managers, plan.terms.manager_count) = (managers, managers as f64);
     }
     plan.pick = asked.pick.unwrap_or(plan.pick);
     plan.one_seed &= asked.pick.is_none();
--- a/daemon/src/rehearse/play.rs
+++ b/daemon/src/rehearse/play.rs
@@ -11,7 +11,7 @@
 use crate::settings::day::Plan;
 use crate::settings::members::Members;
 use crate::settings::write::{write_manager, Post};
-use ottersail::ids::ManagerIx;
+use ottersail::ids::ManagerIndex;
 use ottersail::time::Ms;
 use ottersail_fake_servers::{run_fleet, run_players, Crowd, FaultKind, Recorder};
 use ottersail_fault_injection::cost;
@@ -69,10 +69,10 @@
         let address = addresses[number];
         let members = gossip.as_ref().and_then(|it| member(it, number, address));
         let mut terms = plan.terms.clone();
-        terms.me = ManagerIx(number as u64);
+        terms.manager = ManagerIndex(number as u64);
         terms.zone = zone.as_str().into();
         if plan.day.probes(number) {
-            (terms.reports_on_probe, terms.reports_every) = (true, Ms(0.0));
+            (terms.reports_on_probe, terms.report_interval) = (true, Ms(0.0));
         }
         let post = Post {
             listen: &address.to_string(),
--- a/daemon/src/replay.rs
+++ b/daemon/src/replay.rs
@@ -4,7 +4,7 @@
 use crate::error::ReplayError;
 use crate::run::{house, NoOrders};
 use crate::settings::manager::read_manager;
-use ottersail_front::tape::{Scribe, Told};
+use ottersail_front::recording::{EffectRecorder, FrontInput};
 use ottersail_front::{Front, Ms};
 use ottersail_signed_urls::Keys;
 use serde::Deserialize;
@@ -24,7 +24,7 @@
 #[derive(Deserialize)]
 struct Step {
     at: f64,
-    told: Told,
+    told: FrontInput,
     wanted: Vec<String>,
 }
 
@@ -78,7 +78,7 @@
             return Err(ReplayError::Headless { file: file(), line });
         };
         let mut wanted = Vec::new();
-        step.told.tell(front, Ms(step.at), &mut Scribe { lines: &mut wanted, out: None });
+        step.told.apply(front, Ms(step.at), &mut EffectRecorder { lines: &mut wanted, effects: None });
         if wanted != step.wanted {
             let pair = wanted.iter().zip(&step.wanted).find(|it| it.0 != it.1);
             let (now, then) = pair.map_or((wanted.len().to_string(), step.wanted.len().to_string()), |it| {
--- a/daemon/src/rescue.rs
+++ b/daemon/src/rescue.rs
@@ -4,8 +4,8 @@
 use crate::service::raw;
 use crate::worker::Shared;
 use ottersail_cores::{vigil, Stage};
-use ottersail_front::tape::Told;
-use ottersail_front::{AskId, Reply};
+use ottersail_front::recording::FrontInput;
+use ottersail_front::{Reply, RequestId};
 use ottersail_net::Timer;
 use std::sync::{Arc, PoisonError};
 use std::time::Duration;
@@ -43,12 +43,14 @@
 }
 
 /// The owner has said nothing: what can be said without it.
-fn in_place(shared: &Shared, ask: AskId, stage: Stage) -> Reply {
+fn in_place(shared: &Shared, ask: RequestId, stage: Stage) -> Reply {
     match stage {
         Stage::Put => Reply::Blocked { stay_away: shared.reach.stay_away },
         Stage::Taken => {
             // Should the queue be full, the viewer's silence tells the owner later.
-            _ = shared.news.try_send(News::Happened { told: Told::Left { ask }, slot: None });
+            _ = shared
+                .news
+                .try_send(News::Happened { told: FrontInput::RequestClosed { request: ask }, slot: None });
             Reply::Aborted { late: true }
         }
     }
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -17,8 +17,8 @@
 pub use nothing::NoOrders;
 use ottersail_front::baseline::{Baseline, Pick};
 use ottersail_front::decisions::Decisions;
-use ottersail_front::tape::Told;
-use ottersail_front::{Answers, Front, House, Ms};
+use ottersail_front::recording::FrontInput;
+use ottersail_front::{Front, FrontSettings, Ms, PlacementActions};
 use ottersail_membership::Life;
 use ottersail_net::{block_on, executor, Clock, Timer};
 use ottersail_signed_urls::Keys;
@@ -61,15 +61,15 @@
     Keys::read(&text).map_err(|it| wrong(it.to_string()))
 }
 
-pub fn house(manager: &Manager, keys: Keys) -> House {
-    House {
+pub fn house(manager: &Manager, keys: Keys) -> FrontSettings {
+    FrontSettings {
         url: manager.url.clone(),
         keys,
-        ticket_s: manager.ticket_s,
-        most_waiting: manager.most_waiting,
-        most_watches: manager.most_watches,
-        send_within: manager.links.send_within,
-        linger: manager.links.linger,
+        ticket_lifetime_s: manager.ticket_s,
+        max_waiting: manager.most_waiting,
+        max_watches: manager.most_watches,
+        max_send_delay: manager.links.send_within,
+        end_timeout: manager.links.linger,
     }
 }
 
@@ -110,10 +110,10 @@
         None => Front::new(now, seed, terms, home, &mut NoOrders),
         Some(pick) => {
             warn!(?pick, "picks plainly, for comparison: it keeps no rules but floors");
-            let plain = move |terms, _: &mut dyn Answers| -> Box<dyn Decisions> {
+            let plain = move |terms, _: &mut dyn PlacementActions| -> Box<dyn Decisions> {
                 Box::new(Baseline::new(terms, pick, seed))
             };
-            Front::with(now, terms, home, &mut NoOrders, plain)
+            Front::with_decisions(now, terms, home, &mut NoOrders, plain)
         }
     };
     let header =
@@ -129,7 +129,7 @@
         release::read_orders(&manager, &owner);
     }
     let (listen, cores) = (&manager.listen, manager.cores);
-    info!(listen, cores, managers = manager.terms.managers, number = manager.terms.me.0, "running");
+    info!(listen, cores, managers = manager.terms.manager_count, number = manager.terms.manager.0, "running");
 
     block_on(exec.run(async {
         let mut signals = Signals::new([Heard::Term, Heard::Int, Heard::Hup, Heard::Usr1])
@@ -149,7 +149,7 @@
         if let (Some(_), Some(it)) = (&released, &manager.releases) {
             futures_lite::future::or(told(), release::play_out(&owner, it.play_out)).await;
         }
-        owner.tell(&Told::Drain);
+        owner.tell(&FrontInput::Drain);
         // Takes no longer than what was answered last takes anyway: nobody waits for the council.
         let left = async {
             if let Some(fleet) = owner.fleet.get() {
@@ -157,7 +157,7 @@
             }
         };
         let done = async {
-            while owner.front(|it| it.waiting()) > 0 {
+            while owner.front(|it| it.waiting_requests()) > 0 {
                 Timer::after(Duration::from_millis(10)).await;
             }
             // What was answered last still has to go out.
@@ -225,7 +225,7 @@
             // Its keys are not in the record, and what they sign is.
             release::read_orders(&next, &running.owner);
             running.owner.end_tape();
-            running.owner.front(|it| it.refit(house(&next, keys.clone())));
+            running.owner.front(|it| it.update_settings(house(&next, keys.clone())));
             running.shared.keys.store(Arc::new(keys));
             info!("settings taken over");
         }
--- a/daemon/src/run/release.rs
+++ b/daemon/src/run/release.rs
@@ -47,7 +47,7 @@
 /// Waits until nothing plays here any more, but no longer than told.
 pub(super) async fn play_out(owner: &Rc<Owner>, most: Ms) -> Option<Name> {
     let over = async {
-        while owner.front(|it| it.viewings()) > 0 {
+        while owner.front(|it| it.viewing_count()) > 0 {
             Timer::after(LOOK).await;
         }
     };
--- a/daemon/src/service.rs
+++ b/daemon/src/service.rs
@@ -6,8 +6,8 @@
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CACHE_CONTROL, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Method, Request, Response, StatusCode};
-use ottersail_front::tape::Told;
-use ottersail_front::{Asked, Reply, WatchId};
+use ottersail_front::recording::FrontInput;
+use ottersail_front::{Reply, TitleRequest, WatchId};
 use ottersail_net::{whole, Body, Line};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -88,10 +88,24 @@
         if title.len() > MOST_NAME {
             return said(StatusCode::NOT_FOUND, "no such title");
         }
-        let asked = Asked { title: title.to_string(), package, tenant: text("tenant"), best, patience };
+        let asked = TitleRequest {
+            title: title.to_string(),
+            package,
+            tenant: text("tenant"),
+            max_rung: best,
+            patience_ms: patience,
+        };
         // What is out of bounds is refused by the front.
         let patience = if patience.is_finite() { patience.clamp(50.0, LONGEST) } else { LONGEST };
-        respond(self.worker.ask(line, trace, patience, |ask| Told::Asked { ask, asked }).await).await
+        respond(
+            self.worker
+                .ask(line, trace, patience, |ask| FrontInput::TitleRequested {
+                    request: ask,
+                    title_request: asked,
+                })
+                .await,
+        )
+        .await
     }
 
     async fn reload(
@@ -110,8 +124,16 @@
         }
         let unread = query.get("_HLS_msn").and_then(|it| it.parse::<u64>().ok());
         let watch = WatchId(id.to_string());
-        respond(self.worker.ask(line, trace, LONGEST, |ask| Told::Reloaded { ask, watch, unread }).await)
-            .await
+        respond(
+            self.worker
+                .ask(line, trace, LONGEST, |ask| FrontInput::PlaylistRequested {
+                    request: ask,
+                    watch,
+                    next_sequence: unread,
+                })
+                .await,
+        )
+        .await
     }
 }
 
--- a/daemon/src/settings/day.rs
+++ b/daemon/src/settings/day.rs
@@ -5,7 +5,7 @@
 use super::load;
 use super::sheet::{Section, Sheet};
 use super::terms::terms;
-use ottersail::terms::{Repeat, Terms};
+use ottersail::config::{PlacementConfig, RequestSemantics};
 use ottersail::time::Ms;
 use ottersail_fake_servers::{Day, DayPackage, TITLE_STRIDE};
 use ottersail_front::baseline::{Pick, PICKS};
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub day: Day,
-    pub terms: Terms,
+    pub terms: PlacementConfig,
     pub grace: Ms,
     /// What managers of two shapes may differ by.
     pub factor: f64,
@@ -59,7 +59,7 @@
         players.complain("worth", format!("one figure for each of the {} rungs", terms.ladder_kb.len()));
     }
     let (kind, places) =
-        terms.places.iter().next().map_or((String::new(), 1.0), |it| (it.0.to_string(), *it.1));
+        terms.places_by_kind.iter().next().map_or((String::new(), 1.0), |it| (it.0.to_string(), *it.1));
     let part = |section: &Section, key: &str, absent: f64| section.number_or(key, 0.0..=1.0, absent);
     let packages: Vec<DayPackage> = sheet
         .sections("package")
@@ -80,8 +80,8 @@
                 share: it.number("share", 0.0..=1e6),
                 patience,
                 length: (from, to),
-                scale: package.scale,
-                may_repeat: package.repeat == Repeat::Idempotent,
+                scale: package.rate_scale,
+                may_repeat: package.semantics == RequestSemantics::Idempotent,
             }
         })
         .collect();
@@ -109,13 +109,13 @@
         link_kb: terms.link_unit_kb,
         uplink_kb: terms.uplink_kb,
         uneven: part(&fleet, "uneven", 0.2),
-        cold: terms.cold.lasts.0,
+        cold: terms.cold.warm_up.0,
         start_capacity: terms.cold.start_capacity,
         fall_multiple: terms.cold.fall_multiple,
         fall: terms.cold.fall_window.0,
         set_up: fleet.number("set-up-ms", 0.1..=10_000.0),
-        seen_after: terms.seen_after.0,
-        reports_every: terms.reports_every.0,
+        seen_after: terms.report_delay.0,
+        reports_every: terms.report_interval.0,
         notice: fleet.number("notice-ms", 0.0..=60_000.0),
         silent_notice: fleet.number("silent-notice-ms", 0.0..=120_000.0),
         rates_kb: terms.ladder_kb.clone(),
@@ -148,22 +148,22 @@
     /// What the day is judged by.
     pub fn judged(&self) -> Judged {
         let terms = &self.terms;
-        let package = |it: &ottersail::terms::Package| {
-            let may_repeat = it.repeat != Repeat::AtMostOnce;
+        let package = |it: &ottersail::config::Package| {
+            let may_repeat = it.semantics != RequestSemantics::AtMostOnce;
             (
                 it.name.clone(),
-                PackageTerms { may_repeat, floor: it.floor.0, seats: it.seats, scale: it.scale },
+                PackageTerms { may_repeat, floor: it.floor.0, seats: it.seats, scale: it.rate_scale },
             )
         };
         let shapes = Shapes { new_from: self.day.managers - self.day.probing, factor: self.factor };
         Judged {
             shapes: (self.day.probing > 0).then_some(shapes),
             drain_grace: self.grace.0,
-            cold: terms.cold.lasts.0,
+            cold: terms.cold.warm_up.0,
             start_capacity: terms.cold.start_capacity,
             fall_multiple: terms.cold.fall_multiple,
             fall: terms.cold.fall_window.0,
-            budget: terms.budget.map(|it| (it.free, it.ratio, it.span.0)),
+            budget: terms.budget.map(|it| (it.free_resends, it.ratio, it.window.0)),
             packages: terms.packages.iter().map(package).collect(),
             even: self.even,
             rates_kb: terms.ladder_kb.clone(),
--- a/daemon/src/settings/manager.rs
+++ b/daemon/src/settings/manager.rs
@@ -7,13 +7,13 @@
 use super::releases::{releases, Releases};
 use super::sheet::{Section, Sheet};
 use super::terms::terms;
-use ottersail::terms::Terms;
+use ottersail::config::PlacementConfig;
 use std::path::{Path, PathBuf};
 
 /// All that a manager reads from its file. Times are in milliseconds.
 #[derive(Clone, Debug)]
 pub struct Manager {
-    pub terms: Terms,
+    pub terms: PlacementConfig,
     pub listen: String,
     pub url: String,
     pub keys: PathBuf,
@@ -60,7 +60,7 @@
         );
     }
     let (mut terms, links) = (terms(sheet, (number, managers, &zone)), links(sheet));
-    terms.cold.arrives_within = links.send_within;
+    terms.cold.max_send_delay = links.send_within;
     let listen = me.address("listen");
     let manager = Manager {
         url: me.get("url").map_or_else(|| format!("http://{listen}"), str::to_string),
@@ -125,7 +125,12 @@
     #[test]
     fn what_is_not_said_leaves_the_shape_of_before() {
         let it = read(FILE).unwrap().terms;
-        assert!(!it.reports_on_probe && it.weights_told && it.worth.is_empty() && it.join == 1.0);
+        assert!(
+            !it.reports_on_probe
+                && it.weights_listed
+                && it.rung_values.is_empty()
+                && it.live_join_share == 1.0
+        );
         assert!(it.packages.iter().all(|it| !it.live));
     }
 
@@ -138,7 +143,7 @@
     #[test]
     fn no_notes_at_all_can_be_said() {
         let it = read(&FILE.replace("reports-every-ms = 3000", "reports-every-ms = 0")).unwrap();
-        assert_eq!(it.terms.reports_every, Ms(0.0));
+        assert_eq!(it.terms.report_interval, Ms(0.0));
     }
 
     #[test_case(FILE.to_string(); "the shape of before")]
--- a/daemon/src/settings/package.rs
+++ b/daemon/src/settings/package.rs
@@ -2,8 +2,8 @@
 
 use super::sheet::{Section, Sheet};
 use super::SPAN;
+use ottersail::config::{DedupScope, Package, RequestSemantics, Tenant};
 use ottersail::ids::Rung;
-use ottersail::terms::{Group, Package, Repeat, Tenant};
 use ottersail::time::Ms;
 
 /// At least one package is needed; `rungs` is how many the ladder has.
@@ -33,11 +33,13 @@
     }
     let kind = part.word("repeat", &[("safe", Kind::Safe), ("unsafe", Kind::Unsafe), ("keyed", Kind::Keyed)]);
     let repeat = match kind {
-        Kind::Safe => Repeat::Idempotent,
-        Kind::Unsafe => Repeat::AtMostOnce,
-        Kind::Keyed => Repeat::Deduplicated {
-            group: part
-                .word("group", &[("all", Group::All), ("zone", Group::SameZone), ("cell", Group::SameCell)]),
+        Kind::Safe => RequestSemantics::Idempotent,
+        Kind::Unsafe => RequestSemantics::AtMostOnce,
+        Kind::Keyed => RequestSemantics::Deduplicated {
+            group: part.word(
+                "group",
+                &[("all", DedupScope::All), ("zone", DedupScope::SameZone), ("cell", DedupScope::SameCell)],
+            ),
             window: Ms(part.number("window-ms", SPAN)),
         },
     };
@@ -51,8 +53,8 @@
         name: name.to_string(),
         value: part.number("value", 0.0..=1e9),
         join_target: Ms(part.number("join-target-ms", SPAN)),
-        repeat,
-        scale: part.number_or("scale", 0.001..=1e3, 1.0),
+        semantics: repeat,
+        rate_scale: part.number_or("scale", 0.001..=1e3, 1.0),
         floor: Rung(floor),
         top: Rung(top),
         seats: part.whole_or("seats", 0..=1_000_000, 0) as usize,
--- a/daemon/src/settings/terms.rs
+++ b/daemon/src/settings/terms.rs
@@ -3,12 +3,12 @@
 use super::package::{packages, tenants};
 use super::sheet::{Section, Sheet};
 use super::SPAN;
-use ottersail::ids::{Kind, ManagerIx};
-use ottersail::terms::{Budget, ColdPace, Terms};
+use ottersail::config::{ColdStart, PlacementConfig, ResendBudget};
+use ottersail::ids::{HardwareKind, ManagerIndex};
 use ottersail::time::Ms;
 
 /// The terms of a manager, by number, count and zone, from the sections that a day's file has too.
-pub fn terms(sheet: &Sheet, (number, managers, zone): (u64, u64, &str)) -> Terms {
+pub fn terms(sheet: &Sheet, (number, managers, zone): (u64, u64, &str)) -> PlacementConfig {
     let ladder = sheet.section("ladder");
     let rules = sheet.section("rules");
     let ladder_kb = ladder.numbers("rates-kb", 0.001..=1e9);
@@ -32,9 +32,9 @@
         ladder.complain("reports-on-probe", "needs probes, but [rules] has no probes-allowed = yes");
     }
     let kinds = ladder.pairs("places", 1.0..=1e9);
-    Terms {
-        me: ManagerIx(number),
-        managers: managers as f64,
+    PlacementConfig {
+        manager: ManagerIndex(number),
+        manager_count: managers as f64,
         zone: zone.into(),
         packages,
         tenants: tenants(sheet),
@@ -44,24 +44,27 @@
         uplink_kb: ladder.number_or("rack-link-kb", 0.0..=1e12, 0.0),
         uplinks_reported: ladder.flag_or("uplinks-reported", true),
         reports_on_probe,
-        weights_told: ladder.flag_or("weights-told", true),
-        places: kinds.into_iter().map(|(kind, places)| (Kind::from(kind.as_str()), places)).collect(),
+        weights_listed: ladder.flag_or("weights-told", true),
+        places_by_kind: kinds
+            .into_iter()
+            .map(|(kind, places)| (HardwareKind::from(kind.as_str()), places))
+            .collect(),
         ladder_kb,
-        worth,
-        join,
-        seen_after: Ms(ladder.number("seen-after-ms", SPAN)),
-        reports_every: Ms(ladder.number("reports-every-ms", 0.0..=*SPAN.end())),
+        rung_values: worth,
+        live_join_share: join,
+        report_delay: Ms(ladder.number("seen-after-ms", SPAN)),
+        report_interval: Ms(ladder.number("reports-every-ms", 0.0..=*SPAN.end())),
         change_cost: Ms(ladder.number("change-cost-ms", 0.0..=3.6e6)),
         max_tune_ins: rules.whole("max-tune-ins", 1..=100) as usize,
         max_stay_away: rules.get("max-stay-away-ms").map(|_| Ms(rules.number("max-stay-away-ms", SPAN))),
         must_subscribe: false,
-        cross_price: rules.number_or("cross-price", 0.0..=1.0, 0.0),
-        cold: ColdPace {
-            lasts: Ms(rules.number("cold-ms", 0.0..=3.6e6)),
+        cross_zone_price: rules.number_or("cross-price", 0.0..=1.0, 0.0),
+        cold: ColdStart {
+            warm_up: Ms(rules.number("cold-ms", 0.0..=3.6e6)),
             start_capacity: rules.number("start-capacity", 0.0..=1.0),
             fall_multiple: rules.number("fall-multiple", 0.1..=1e3),
             fall_window: Ms(rules.number("fall-ms", SPAN)),
-            arrives_within: Ms(0.0),
+            max_send_delay: Ms(0.0),
         },
         budget: budget(&rules),
         tick: Ms(1.0),
@@ -69,11 +72,11 @@
 }
 
 /// With one of its keys all three must be there.
-fn budget(rules: &Section) -> Option<Budget> {
+fn budget(rules: &Section) -> Option<ResendBudget> {
     let parts = ["budget-free", "budget-ratio", "budget-span-ms"].map(|it| rules.get(it).is_some());
-    parts.contains(&true).then(|| Budget {
-        free: rules.number("budget-free", 0.0..=1e9),
+    parts.contains(&true).then(|| ResendBudget {
+        free_resends: rules.number("budget-free", 0.0..=1e9),
         ratio: rules.number("budget-ratio", 0.0..=1e3),
-        span: Ms(rules.number("budget-span-ms", SPAN)),
+        window: Ms(rules.number("budget-span-ms", SPAN)),
     })
 }
--- a/daemon/src/settings/write.rs
+++ b/daemon/src/settings/write.rs
@@ -3,7 +3,7 @@
 use super::council::Council;
 use super::members::Members;
 use super::releases::Releases;
-use ottersail::terms::{Budget, Group, Repeat, Terms};
+use ottersail::config::{DedupScope, PlacementConfig, RequestSemantics, ResendBudget};
 use ottersail::time::Ms;
 
 /// What of a manager's file is not in its terms.
@@ -21,16 +21,17 @@
 }
 
 /// Writes a manager's file; [`read_manager`](super::manager::read_manager) reads the same terms from it.
-pub fn write_manager(terms: &Terms, post: &Post) -> String {
+pub fn write_manager(terms: &PlacementConfig, post: &Post) -> String {
     let yes = |it: bool| if it { "yes" } else { "no" };
     let join = |all: &[f64]| all.iter().map(f64::to_string).collect::<Vec<_>>().join(", ");
     let Post { listen, list, keys, grace, list_wait, silence, cores, .. } = post;
-    let places: Vec<String> = terms.places.iter().map(|(kind, places)| format!("{kind}:{places}")).collect();
+    let places: Vec<String> =
+        terms.places_by_kind.iter().map(|(kind, places)| format!("{kind}:{places}")).collect();
     let mut text = format!(
         "[manager]\nnumber = {}\nmanagers = {}\nzone = {}\nlisten = {listen}\nkeys = {keys}\n\
          cores = {cores}\n\n\
          [list]\naddress = {list}\nservice = streaming\nwait-ms = {}\n\n[servers]\nsilence-ms = {}\n\n",
-        terms.me.0, terms.managers, terms.zone, list_wait.0, silence.0
+        terms.manager.0, terms.manager_count, terms.zone, list_wait.0, silence.0
     );
     text += &format!(
         "[ladder]\nrates-kb = {}\nlink-unit-kb = {}\nrack-link-kb = {}\nuplinks-reported = {}\ncells = {}\n\
@@ -43,33 +44,33 @@
         terms.cells,
         terms.racks,
         places.join(", "),
-        terms.seen_after.0,
-        terms.reports_every.0,
+        terms.report_delay.0,
+        terms.report_interval.0,
         terms.change_cost.0,
         yes(terms.reports_on_probe),
-        yes(terms.weights_told),
-        terms.join
+        yes(terms.weights_listed),
+        terms.live_join_share
     );
-    if !terms.worth.is_empty() {
-        text += &format!("worth = {}\n", join(&terms.worth));
+    if !terms.rung_values.is_empty() {
+        text += &format!("worth = {}\n", join(&terms.rung_values));
     }
     text += &format!(
         "\n[rules]\nprobes-allowed = {}\ndrain-grace-ms = {}\ncold-ms = {}\nstart-capacity = {}\n\
          fall-multiple = {}\nfall-ms = {}\nmax-tune-ins = {}\ncross-price = {}\n",
         yes(terms.reports_on_probe),
         grace.0,
-        terms.cold.lasts.0,
+        terms.cold.warm_up.0,
         terms.cold.start_capacity,
         terms.cold.fall_multiple,
         terms.cold.fall_window.0,
         terms.max_tune_ins,
-        terms.cross_price
+        terms.cross_zone_price
     );
     if let Some(most) = terms.max_stay_away {
         text += &format!("max-stay-away-ms = {}\n", most.0);
     }
     if let Some(budget) = terms.budget {
-        let Budget { free, ratio, span } = budget;
+        let ResendBudget { free_resends: free, ratio, window: span } = budget;
         text += &format!("budget-free = {free}\nbudget-ratio = {ratio}\nbudget-span-ms = {}\n", span.0);
     }
     for it in &terms.packages {
@@ -77,17 +78,17 @@
             &format!(
             "\n[package {}]\nvalue = {}\njoin-target-ms = {}\nscale = {}\nfloor = {}\ntop = {}\nseats = {}\n\
              live = {}\n",
-            it.name, it.value, it.join_target.0, it.scale, it.floor.0, it.top.0, it.seats,
+            it.name, it.value, it.join_target.0, it.rate_scale, it.floor.0, it.top.0, it.seats,
             yes(it.live)
         );
-        text += &match it.repeat {
-            Repeat::Idempotent => "repeat = safe\n".to_string(),
-            Repeat::AtMostOnce => "repeat = unsafe\n".to_string(),
-            Repeat::Deduplicated { group, window } => {
+        text += &match it.semantics {
+            RequestSemantics::Idempotent => "repeat = safe\n".to_string(),
+            RequestSemantics::AtMostOnce => "repeat = unsafe\n".to_string(),
+            RequestSemantics::Deduplicated { group, window } => {
                 let group = match group {
-                    Group::All => "all",
-                    Group::SameZone => "zone",
-                    Group::SameCell => "cell",
+                    DedupScope::All => "all",
+                    DedupScope::SameZone => "zone",
+                    DedupScope::SameCell => "cell",
                 };
                 format!("repeat = keyed\ngroup = {group}\nwindow-ms = {}\n", window.0)
             }
--- a/daemon/src/worker.rs
+++ b/daemon/src/worker.rs
@@ -9,8 +9,8 @@
 use async_executor::Task;
 use hyper::{Method, Request, StatusCode};
 use ottersail_cores::vigil;
-use ottersail_front::tape::Told;
-use ottersail_front::PROBE_PATIENCE;
+use ottersail_front::recording::FrontInput;
+use ottersail_front::PROBE_TIMEOUT;
 use ottersail_net::{Body, Client, Exec, Timer};
 use ottersail_wire::report::{self, Report};
 pub use shared::{Reach, Shared};
@@ -71,7 +71,7 @@
         self.exec.spawn(future).detach();
     }
 
-    async fn tell(&self, told: Told) {
+    async fn tell(&self, told: FrontInput) {
         _ = self.shared.news.send(News::Happened { told, slot: None }).await;
     }
 
@@ -116,10 +116,10 @@
                     }
                     _ => None,
                 };
-                worker.tell(Told::RungChanged { vw, rung, playlist }).await;
+                worker.tell(FrontInput::RungChanged { viewing: vw, rung, playlist }).await;
             }),
             Errand::LetGo { vw, address } => {
-                let told = Told::LetGo { vw: vw.clone() };
+                let told = FrontInput::EndConfirmed { viewing: vw.clone() };
                 self.parting(address, format!("/viewings/{vw}"), Some(told));
             }
             Errand::Listen { server, address } => {
@@ -127,7 +127,7 @@
                 self.streams.borrow_mut().insert(server, task);
             }
             Errand::Probe { server, address } => self.spawn(async move {
-                let patience = Duration::from_secs_f64(PROBE_PATIENCE.0 / 1e3);
+                let patience = Duration::from_secs_f64(PROBE_TIMEOUT.0 / 1e3);
                 let sent = worker.client.exchange(
                     &address,
                     worker.errand(Method::GET, &address, "/load"),
@@ -138,7 +138,7 @@
                 let answer = answer.filter(|it| it.status == StatusCode::NO_CONTENT);
                 let told =
                     answer.and_then(|it| it.headers.get(report::HEADER)?.to_str().ok().map(Report::read));
-                worker.tell(Told::Probed { server, report: told }).await;
+                worker.tell(FrontInput::ProbeEnded { server, report: told }).await;
             }),
             Errand::StandStill { ms } => std::thread::sleep(Duration::from_millis(ms)),
             Errand::HangUp { server } => drop(self.streams.borrow_mut().remove(&server)),
--- a/daemon/src/worker/ask.rs
+++ b/daemon/src/worker/ask.rs
@@ -3,8 +3,8 @@
 use super::Worker;
 use crate::post::{News, Slot};
 use ottersail_cores::{vigil, Claim, Stage};
-use ottersail_front::tape::Told;
-use ottersail_front::{AskId, Reply};
+use ottersail_front::recording::FrontInput;
+use ottersail_front::{Reply, RequestId};
 use ottersail_net::{Line, Timer};
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
@@ -19,10 +19,10 @@
         line: Line,
         trace: String,
         patience: f64,
-        told: impl FnOnce(AskId) -> Told,
+        told: impl FnOnce(RequestId) -> FrontInput,
     ) -> Option<Reply> {
         self.asks.set(self.asks.get() + 1);
-        let ask = AskId(self.asks.get() * self.shared.cores.len() as u64 + self.index as u64);
+        let ask = RequestId(self.asks.get() * self.shared.cores.len() as u64 + self.index as u64);
         let (ready, is_ready) = async_channel::bounded(1);
         let began = self.now();
         let due = vigil::last_call(began, patience);
@@ -51,7 +51,7 @@
             if stage == Stage::Taken {
                 // It owes nothing for it any more.
                 let worker = self.clone();
-                self.spawn(async move { worker.tell(Told::Left { ask }).await });
+                self.spawn(async move { worker.tell(FrontInput::RequestClosed { request: ask }).await });
             }
             match stage {
                 Stage::Put => Reply::Blocked { stay_away },
@@ -69,7 +69,7 @@
 
 struct Waiting<'a> {
     worker: &'a Rc<Worker>,
-    ask: AskId,
+    ask: RequestId,
     slot: Arc<Slot>,
 }
 
@@ -83,7 +83,7 @@
         // never will.
         if self.slot.claim.answer() == Some(Stage::Taken) {
             let (worker, ask) = (self.worker.clone(), self.ask);
-            self.worker.spawn(async move { worker.tell(Told::Left { ask }).await });
+            self.worker.spawn(async move { worker.tell(FrontInput::RequestClosed { request: ask }).await });
         }
     }
 }
--- a/daemon/src/worker/list.rs
+++ b/daemon/src/worker/list.rs
@@ -2,7 +2,7 @@
 
 use super::{within, Worker};
 use hyper::{Method, StatusCode};
-use ottersail_front::tape::Told;
+use ottersail_front::recording::FrontInput;
 use ottersail_net::Timer;
 use ottersail_wire::catalogue::{self, read_servers, read_titles, INDEX_HEADER};
 use std::rc::Rc;
@@ -37,9 +37,10 @@
                         continue;
                     }
                     let told = if servers {
-                        read_servers(&answer.body).map(|list| Told::Listed { index: at.unwrap_or(0), list })
+                        read_servers(&answer.body)
+                            .map(|list| FrontInput::ServersListed { index: at.unwrap_or(0), list })
                     } else {
-                        read_titles(&answer.body).map(|titles| Told::Titled { titles })
+                        read_titles(&answer.body).map(|titles| FrontInput::TitlesListed { titles })
                     };
                     match (told, at) {
                         (Ok(told), Some(at)) => {
@@ -61,7 +62,7 @@
             let list = &reach.list;
             warn!(%list, servers, cause = trouble, "the list could not be had; the last one holds");
             if servers {
-                self.tell(Told::ListFailed).await;
+                self.tell(FrontInput::ListFailed).await;
             }
             Timer::after(Duration::from_secs_f64(reach.list_retry.0 / 1e3)).await;
         }
--- a/daemon/src/worker/servers.rs
+++ b/daemon/src/worker/servers.rs
@@ -2,7 +2,7 @@
 
 use super::{within, Worker, ERRAND};
 use hyper::{Method, StatusCode};
-use ottersail_front::tape::Told;
+use ottersail_front::recording::FrontInput;
 use ottersail_front::SetUpEnd;
 use ottersail_net::{Failure, Timer};
 use ottersail_wire::notes::{Note, Reader};
@@ -55,7 +55,9 @@
         let done = self.set_ups.borrow_mut().remove(&vw);
         // Told by a task of its own: this one ends with its handle.
         let worker = self.clone();
-        self.spawn(async move { worker.tell(Told::SetUpEnded { vw, no, end, report: load }).await });
+        self.spawn(async move {
+            worker.tell(FrontInput::SetUpEnded { viewing: vw, tune_in: no, end, report: load }).await
+        });
         drop(done);
     }
 
@@ -73,7 +75,7 @@
         false
     }
 
-    pub(super) fn parting(self: &Rc<Worker>, address: String, path: String, told: Option<Told>) {
+    pub(super) fn parting(self: &Rc<Worker>, address: String, path: String, told: Option<FrontInput>) {
         if self.partings.get() >= MOST_PARTINGS {
             debug!(path, "too many ends are being told; this one is left to the server's lease");
             return;
@@ -108,7 +110,7 @@
                 let mut notes = Vec::new();
                 let whole = reader.take(&bytes, |it| notes.push(it));
                 for note in notes.into_iter().filter(|it| *it != Note::Alive) {
-                    self.tell(Told::Noted { server: server.clone(), note }).await;
+                    self.tell(FrontInput::NoteReceived { server: server.clone(), note }).await;
                 }
                 if whole.is_err() {
                     warn!(server, "its notes can't be read; its stream is given up");
@@ -116,6 +118,6 @@
                 }
             }
         }
-        self.tell(Told::ServerLost { server }).await;
+        self.tell(FrontInput::ServerLost { server }).await;
     }
 }
--- a/daemon/src/worker/shared.rs
+++ b/daemon/src/worker/shared.rs
@@ -41,7 +41,7 @@
 impl From<&Manager> for Reach {
     fn from(it: &Manager) -> Reach {
         Reach {
-            me: it.terms.me.0,
+            me: it.terms.manager.0,
             list: it.links.list.clone(),
             service: it.links.service.clone(),
             list_wait: it.links.list_wait,
--- a/front/src/baseline.rs
+++ b/front/src/baseline.rs
@@ -2,11 +2,11 @@
 //! budget, no health, no steps. They keep what a manager can't do without: floors, and one tune-in for each
 //! viewing.
 
-use crate::decisions::{Decisions, Ended};
-use ottersail::answers::Answers;
-use ottersail::ids::{BellTag, Cell, PackageIx, ServerId, TenantIx, ViewingId};
-use ottersail::state::{Availability, Entry, ListMode, Load, Topic, Wish};
-use ottersail::terms::Terms;
+use crate::decisions::{Decisions, TuneInEnd};
+use ottersail::actions::PlacementActions;
+use ottersail::config::PlacementConfig;
+use ottersail::ids::{Cell, PackageIndex, ServerId, TenantIndex, TimerTag, ViewingId};
+use ottersail::state::{Availability, ListMode, Load, ServerEntry, Topic, ViewingRequest};
 use ottersail::time::Ms;
 use std::collections::BTreeMap;
 
@@ -30,29 +30,29 @@
 
 pub struct Baseline {
     pick: Pick,
-    terms: Terms,
+    terms: PlacementConfig,
     cells: BTreeMap<Cell, Vec<ServerId>>,
     asked: BTreeMap<ServerId, f64>,
     rng: fastrand::Rng,
 }
 
 impl Baseline {
-    pub fn new(terms: Terms, pick: Pick, seed: u64) -> Baseline {
+    pub fn new(terms: PlacementConfig, pick: Pick, seed: u64) -> Baseline {
         let (cells, asked, rng) = (BTreeMap::new(), BTreeMap::new(), fastrand::Rng::with_seed(seed));
         Baseline { pick, terms, cells, asked, rng }
     }
 }
 
 impl Decisions for Baseline {
-    fn package_named(&self, name: &str) -> Option<PackageIx> {
-        self.terms.packages.iter().position(|it| it.name == name).map(PackageIx)
+    fn package_named(&self, name: &str) -> Option<PackageIndex> {
+        self.terms.packages.iter().position(|it| it.name == name).map(PackageIndex)
     }
 
-    fn tenant_named(&self, name: &str) -> Option<TenantIx> {
-        self.terms.tenants.iter().position(|it| it.name == name).map(TenantIx)
+    fn tenant_named(&self, name: &str) -> Option<TenantIndex> {
+        self.terms.tenants.iter().position(|it| it.name == name).map(TenantIndex)
     }
 
-    fn members(&mut self, _: Ms, _: ListMode, entries: &[Entry], _: &mut dyn Answers) {
+    fn update_servers(&mut self, _: Ms, _: ListMode, entries: &[ServerEntry], _: &mut dyn PlacementActions) {
         for entry in entries {
             let there = self.cells.entry(entry.cell).or_default();
             there.retain(|it| *it != entry.server);
@@ -64,11 +64,11 @@
         }
     }
 
-    fn incoming(&mut self, now: Ms, wish: Wish, out: &mut dyn Answers) {
-        let cells = (0..wish.copies).map(|it| Cell((wish.base + it) % self.terms.cells.max(1)));
+    fn request_viewing(&mut self, now: Ms, wish: ViewingRequest, out: &mut dyn PlacementActions) {
+        let cells = (0..wish.cell_count).map(|it| Cell((wish.first_cell + it) % self.terms.cells.max(1)));
         let holders: Vec<&ServerId> = cells.filter_map(|it| self.cells.get(&it)).flatten().collect();
         if holders.is_empty() {
-            return out.shed(&wish.vw, None);
+            return out.shed(&wish.viewing, None);
         }
         let at = self.rng.usize(..holders.len());
         let asked = |it: &ServerId| self.asked.get(it).copied().unwrap_or(0.0);
@@ -83,16 +83,23 @@
             }
         };
         let package = &self.terms.packages[wish.package.0];
-        let best = wish.best.min(package.top).max(package.floor);
-        out.step_to(&wish.vw, if self.pick == Pick::LowestRung { package.floor } else { best });
-        out.relay(&wish.vw, &server, wish.due - now);
+        let best = wish.max_rung.min(package.top).max(package.floor);
+        out.step_to(&wish.viewing, if self.pick == Pick::LowestRung { package.floor } else { best });
+        out.tune_in(&wish.viewing, &server, wish.deadline - now);
     }
 
-    fn bell(&mut self, _: Ms, _: BellTag, _: &mut dyn Answers) {}
+    fn timer_fired(&mut self, _: Ms, _: TimerTag, _: &mut dyn PlacementActions) {}
 
-    fn first(&mut self, _: Ms, _: &ViewingId, _: &ServerId, _: &mut dyn Answers) {}
+    fn viewing_started(&mut self, _: Ms, _: &ViewingId, _: &ServerId, _: &mut dyn PlacementActions) {}
 
-    fn answer(&mut self, _: Ms, vw: &ViewingId, ended: Ended, load: Load, out: &mut dyn Answers) {
+    fn tune_in_ended(
+        &mut self,
+        _: Ms,
+        vw: &ViewingId,
+        ended: TuneInEnd,
+        load: Load,
+        out: &mut dyn PlacementActions,
+    ) {
         if let Some(asked) = load.link {
             self.asked.insert(ended.server, asked);
         }
@@ -101,19 +108,19 @@
         }
     }
 
-    fn change(
+    fn note_received(
         &mut self,
         _: Ms,
         _: &ViewingId,
         topic: Topic,
         value: f64,
         server: &ServerId,
-        _: &mut dyn Answers,
+        _: &mut dyn PlacementActions,
     ) {
         if topic == Topic::LinkAsked {
             self.asked.insert(server.clone(), value);
         }
     }
 
-    fn dropped(&mut self, _: Ms, _: &ViewingId, _: &mut dyn Answers) {}
+    fn viewer_left(&mut self, _: Ms, _: &ViewingId, _: &mut dyn PlacementActions) {}
 }
--- a/front/src/decisions.rs
+++ b/front/src/decisions.rs
@@ -1,98 +1,152 @@
-//! What the front tells the decisions. Those of this project are [`Placement`]; only benchmarks put another in
-//! its place.
+//! [`Decisions`], the interface between the front and the placement decisions. Production uses [`Placement`];
+//! benchmarks replace it with other implementations.
 
-use ottersail::answers::Answers;
-use ottersail::ids::{BellTag, PackageIx, ServerId, TenantIx, TuneInNo, ViewingId};
+use ottersail::actions::PlacementActions;
+use ottersail::ids::{PackageIndex, ServerId, TenantIndex, TimerTag, TuneInIndex, ViewingId};
 use ottersail::placement::Placement;
-use ottersail::state::{Entry, ListMode, Load, Outcome, Topic, Wish};
+use ottersail::state::{ListMode, Load, Outcome, ServerEntry, Topic, ViewingRequest};
 use ottersail::time::Ms;
 
-/// The inputs of [`Placement`] that the front makes use of; see there.
+/// The inputs of [`Placement`] that the front uses; see the methods there.
 pub trait Decisions {
-    fn package_named(&self, name: &str) -> Option<PackageIx>;
-    fn tenant_named(&self, name: &str) -> Option<TenantIx>;
-    fn members(&mut self, now: Ms, mode: ListMode, entries: &[Entry], out: &mut dyn Answers);
-    fn incoming(&mut self, now: Ms, wish: Wish, out: &mut dyn Answers);
-    fn bell(&mut self, now: Ms, tag: BellTag, out: &mut dyn Answers);
-    fn first(&mut self, now: Ms, vw: &ViewingId, server: &ServerId, out: &mut dyn Answers);
-    /// `last` if nothing is owed any more.
-    fn answer(&mut self, now: Ms, vw: &ViewingId, ended: Ended, load: Load, out: &mut dyn Answers);
-    fn change(
+    fn package_named(&self, name: &str) -> Option<PackageIndex>;
+    fn tenant_named(&self, name: &str) -> Option<TenantIndex>;
+    fn update_servers(
         &mut self,
         now: Ms,
-        vw: &ViewingId,
+        mode: ListMode,
+        entries: &[ServerEntry],
+        actions: &mut dyn PlacementActions,
+    );
+    fn request_viewing(&mut self, now: Ms, request: ViewingRequest, actions: &mut dyn PlacementActions);
+    fn timer_fired(&mut self, now: Ms, tag: TimerTag, actions: &mut dyn PlacementActions);
+    fn viewing_started(
+        &mut self,
+        now: Ms,
+        viewing: &ViewingId,
+        server: &ServerId,
+        actions: &mut dyn PlacementActions,
+    );
+    fn tune_in_ended(
+        &mut self,
+        now: Ms,
+        viewing: &ViewingId,
+        end: TuneInEnd,
+        load: Load,
+        actions: &mut dyn PlacementActions,
+    );
+    fn note_received(
+        &mut self,
+        now: Ms,
+        viewing: &ViewingId,
         topic: Topic,
         value: f64,
         server: &ServerId,
-        out: &mut dyn Answers,
+        actions: &mut dyn PlacementActions,
     );
-    fn dropped(&mut self, now: Ms, vw: &ViewingId, out: &mut dyn Answers);
-    /// Which slots of so many are this manager's. Decisions that share nothing need not care.
-    fn part(&mut self, _: Ms, _: &[u64], _: f64) {}
-    /// How a probe ended. Decisions that never ask for one need not care.
-    fn echo(&mut self, _: Ms, _: &ServerId, _: Outcome, _: Load, _: &mut dyn Answers) {}
+    fn viewer_left(&mut self, now: Ms, viewing: &ViewingId, actions: &mut dyn PlacementActions);
+    /// Sets this manager's slots and the number of all slots. The default ignores them, for decisions without
+    /// limits shared between managers.
+    fn set_slots(&mut self, _now: Ms, _slots: &[u64], _total: f64) {}
+    /// Result of a probe. The default ignores it, for decisions that never probe.
+    fn probe_ended(
+        &mut self,
+        _now: Ms,
+        _server: &ServerId,
+        _outcome: Outcome,
+        _load: Load,
+        _actions: &mut dyn PlacementActions,
+    ) {
+    }
 }
 
-/// How a tune-in or a viewing ended.
+/// The end of a tune-in that failed, or of the viewing that it started.
 #[derive(Clone, Debug)]
-pub struct Ended {
-    pub no: TuneInNo,
+pub struct TuneInEnd {
+    pub tune_in: TuneInIndex,
     pub server: ServerId,
     pub outcome: Outcome,
+    /// Whether the viewing is over, so that no further tune-in or answer is expected.
     pub last: bool,
 }
 
 impl Decisions for Placement {
-    fn package_named(&self, name: &str) -> Option<PackageIx> {
+    fn package_named(&self, name: &str) -> Option<PackageIndex> {
         Placement::package_named(self, name)
     }
 
-    fn tenant_named(&self, name: &str) -> Option<TenantIx> {
+    fn tenant_named(&self, name: &str) -> Option<TenantIndex> {
         Placement::tenant_named(self, name)
     }
 
-    fn members(&mut self, now: Ms, mode: ListMode, entries: &[Entry], out: &mut dyn Answers) {
-        Placement::members(self, now, mode, entries, out);
+    fn update_servers(
+        &mut self,
+        now: Ms,
+        mode: ListMode,
+        entries: &[ServerEntry],
+        actions: &mut dyn PlacementActions,
+    ) {
+        Placement::update_servers(self, now, mode, entries, actions);
     }
 
-    fn incoming(&mut self, now: Ms, wish: Wish, out: &mut dyn Answers) {
-        Placement::incoming(self, now, wish, out);
+    fn request_viewing(&mut self, now: Ms, request: ViewingRequest, actions: &mut dyn PlacementActions) {
+        Placement::request_viewing(self, now, request, actions);
     }
 
-    fn bell(&mut self, now: Ms, tag: BellTag, out: &mut dyn Answers) {
-        Placement::bell(self, now, tag, out);
+    fn timer_fired(&mut self, now: Ms, tag: TimerTag, actions: &mut dyn PlacementActions) {
+        Placement::timer_fired(self, now, tag, actions);
     }
 
-    fn first(&mut self, now: Ms, vw: &ViewingId, server: &ServerId, out: &mut dyn Answers) {
-        Placement::first(self, now, vw, server, out);
+    fn viewing_started(
+        &mut self,
+        now: Ms,
+        viewing: &ViewingId,
+        server: &ServerId,
+        actions: &mut dyn PlacementActions,
+    ) {
+        Placement::viewing_started(self, now, viewing, server, actions);
     }
 
-    fn answer(&mut self, now: Ms, vw: &ViewingId, ended: Ended, load: Load, out: &mut dyn Answers) {
-        let Ended { no, server, outcome, last } = ended;
-        Placement::answer(self, now, vw, no, &server, outcome, last, load, out);
+    fn tune_in_ended(
+        &mut self,
+        now: Ms,
+        viewing: &ViewingId,
+        end: TuneInEnd,
+        load: Load,
+        actions: &mut dyn PlacementActions,
+    ) {
+        let TuneInEnd { tune_in, server, outcome, last } = end;
+        Placement::tune_in_ended(self, now, viewing, tune_in, &server, outcome, last, load, actions);
     }
 
-    fn change(
+    fn note_received(
         &mut self,
         now: Ms,
-        vw: &ViewingId,
+        viewing: &ViewingId,
         topic: Topic,
         value: f64,
         server: &ServerId,
-        out: &mut dyn Answers,
+        actions: &mut dyn PlacementActions,
     ) {
-        Placement::change(self, now, vw, topic, value, server, out);
+        Placement::note_received(self, now, viewing, topic, value, server, actions);
     }
 
-    fn dropped(&mut self, now: Ms, vw: &ViewingId, out: &mut dyn Answers) {
-        Placement::dropped(self, now, vw, out);
+    fn viewer_left(&mut self, now: Ms, viewing: &ViewingId, actions: &mut dyn PlacementActions) {
+        Placement::viewer_left(self, now, viewing, actions);
     }
 
-    fn echo(&mut self, now: Ms, server: &ServerId, outcome: Outcome, load: Load, out: &mut dyn Answers) {
-        Placement::echo(self, now, server, outcome, load, out);
+    fn probe_ended(
+        &mut self,
+        now: Ms,
+        server: &ServerId,
+        outcome: Outcome,
+        load: Load,
+        actions: &mut dyn PlacementActions,
+    ) {
+        Placement::probe_ended(self, now, server, outcome, load, actions);
     }
 
-    fn part(&mut self, now: Ms, slots: &[u64], of: f64) {
-        Placement::part(self, now, slots, of);
+    fn set_slots(&mut self, now: Ms, slots: &[u64], total: f64) {
+        Placement::set_slots(self, now, slots, total);
     }
 }
--- a/front/src/front/desk.rs
+++ b/front/src/front/desk.rs
@@ -1,14 +1,14 @@
 //! All that the front holds but the decisions.
 
-use super::house::House;
+use super::house::FrontSettings;
 use super::owed::{Alarm, Seat};
-use crate::orders::{AskId, Part, WatchId};
+use crate::effects::{RequestId, SlotShare, WatchId};
 use crate::roster::Roster;
 use crate::timers::Timers;
 use crate::watch::Watch;
+use ottersail::config::PlacementConfig;
 use ottersail::ids::{Rung, ServerId, ViewingId};
 use ottersail::placement::LIST_LAG;
-use ottersail::terms::Terms;
 use ottersail::time::Ms;
 use ottersail_hls::Source;
 use ottersail_wire::catalogue::Title;
@@ -36,7 +36,7 @@
 /// All but the decisions.
 pub(super) struct Desk {
     pub(super) now: Ms,
-    pub(super) house: House,
+    pub(super) house: FrontSettings,
     pub(super) prefix: String,
     pub(super) floors: Vec<Rung>,
     pub(super) scales: Vec<f64>,
@@ -51,7 +51,7 @@
     pub(super) watches: BTreeMap<WatchId, Watch>,
     pub(super) seats: BTreeMap<ViewingId, Seat>,
     /// Requests that wait, and for which watch.
-    pub(super) asks: BTreeMap<AskId, WatchId>,
+    pub(super) asks: BTreeMap<RequestId, WatchId>,
     /// Viewings that play or end at a server; its notes are listened to while there are any.
     pub(super) there: BTreeMap<ServerId, BTreeSet<ViewingId>>,
     /// By title and rung: the text, and what was read from it while anybody plays it.
@@ -64,17 +64,17 @@
     pub(super) probes: BTreeSet<ServerId>,
     pub(super) counts: Counts,
     /// The part that is held on a lease which still runs.
-    pub(super) part: Option<Part>,
+    pub(super) part: Option<SlotShare>,
 }
 
 impl Desk {
     /// A desk that nobody has told anything yet.
-    pub(super) fn new(now: Ms, terms: &Terms, house: House) -> Desk {
+    pub(super) fn new(now: Ms, terms: &PlacementConfig, house: FrontSettings) -> Desk {
         Desk {
             now,
-            prefix: format!("{}-{:.0}", terms.me.0, now.0),
+            prefix: format!("{}-{:.0}", terms.manager.0, now.0),
             floors: terms.packages.iter().map(|it| it.floor).collect(),
-            scales: terms.packages.iter().map(|it| it.scale).collect(),
+            scales: terms.packages.iter().map(|it| it.rate_scale).collect(),
             ladder_kb: terms.ladder_kb.clone(),
             stay_away: terms.max_stay_away,
             house,
@@ -91,7 +91,7 @@
             draining: false,
             probes: BTreeSet::new(),
             counts: Counts::default(),
-            doubts_until: now + terms.cold.lasts.min(terms.cold.fall_window * LIST_LAG),
+            doubts_until: now + terms.cold.warm_up.min(terms.cold.fall_window * LIST_LAG),
             part: None,
         }
     }
--- a/front/src/front/ends.rs
+++ b/front/src/front/ends.rs
@@ -4,18 +4,18 @@
 use super::hand::Hand;
 use super::owed::{Alarm, Place};
 use super::Front;
-use crate::decisions::Ended;
-use crate::orders::{Orders, Reply, WatchId};
+use crate::decisions::TuneInEnd;
+use crate::effects::{Effects, Reply, WatchId};
 use crate::presence;
 use crate::watch::Stage;
-use ottersail::ids::{ServerId, TuneInNo, ViewingId};
+use ottersail::ids::{ServerId, TuneInIndex, ViewingId};
 use ottersail::state::{Load, Outcome};
 use ottersail::time::Ms;
 use tracing::info;
 
 impl Front {
     /// A server confirmed the end of a viewing, or can't be reached any more.
-    pub fn let_go(&mut self, now: Ms, vw: &ViewingId, out: &mut dyn Orders) {
+    pub fn end_confirmed(&mut self, now: Ms, vw: &ViewingId, out: &mut dyn Effects) {
         self.at(now);
         if let Some(Place::Ending(outcome)) = self.desk.seats.get(vw).map(|it| it.place) {
             self.viewing_ended(vw, outcome, out);
@@ -23,7 +23,7 @@
     }
 
     /// The stream of notes from a server broke or fell silent: what plays there is lost.
-    pub fn server_lost(&mut self, now: Ms, server: &ServerId, out: &mut dyn Orders) {
+    pub fn server_lost(&mut self, now: Ms, server: &ServerId, out: &mut dyn Effects) {
         let desk = self.at(now);
         let there: Vec<ViewingId> = desk.there.get(server).into_iter().flatten().cloned().collect();
         for vw in there {
@@ -38,7 +38,7 @@
                     info!(viewing = %vw, server = %server, cause = "server lost", "broken off");
                     self.break_watch(&id);
                     // It may only be out of reach: it is told, should it hear.
-                    out.let_go(&vw, server, &address);
+                    out.end_viewing(&vw, server, &address);
                     Outcome::ConnectionLost
                 }
             };
@@ -47,25 +47,29 @@
     }
 
     /// The viewer of a viewing that does not play yet is gone.
-    pub(super) fn viewer_gone(&mut self, vw: &ViewingId, out: &mut dyn Orders) {
+    pub(super) fn viewer_gone(&mut self, vw: &ViewingId, out: &mut dyn Effects) {
         let Front { placement, desk } = self;
         let now = desk.now;
         let Some(seat) = desk.seats.remove(vw) else {
             return;
         };
         desk.timers.cancel(&Alarm::TuneIn(vw.clone()));
-        placement.dropped(now, vw, &mut Hand { desk, out });
+        placement.viewer_left(now, vw, &mut Hand { desk, out });
         if seat.place == Place::Out {
             let no = seat.tune_ins - 1;
-            out.call_off(vw, no, &seat.server, &seat.address);
-            let ended =
-                Ended { no: TuneInNo(no), server: seat.server, outcome: Outcome::CalledOff, last: true };
-            placement.answer(now, vw, ended, Load::default(), &mut Hand { desk, out });
+            out.cancel_set_up(vw, no, &seat.server, &seat.address);
+            let ended = TuneInEnd {
+                tune_in: TuneInIndex(no),
+                server: seat.server,
+                outcome: Outcome::CalledOff,
+                last: true,
+            };
+            placement.tune_in_ended(now, vw, ended, Load::default(), &mut Hand { desk, out });
         }
     }
 
     /// A watch comes to its end.
-    pub(super) fn over(&mut self, id: &WatchId, cause: &str, outcome: Outcome, out: &mut dyn Orders) {
+    pub(super) fn over(&mut self, id: &WatchId, cause: &str, outcome: Outcome, out: &mut dyn Effects) {
         let Some(watch) = self.desk.watches.get(id) else {
             return;
         };
@@ -81,13 +85,13 @@
         if let Some(seat) = self.desk.seats.get_mut(&vw) {
             info!(viewing = %vw, server = %seat.server, cause, "ended");
             seat.place = Place::Ending(outcome);
-            out.let_go(&vw, &seat.server, &seat.address);
-            self.desk.timers.set(Alarm::Linger(vw), now + self.desk.house.linger);
+            out.end_viewing(&vw, &seat.server, &seat.address);
+            self.desk.timers.set(Alarm::Linger(vw), now + self.desk.house.end_timeout);
         }
     }
 
     /// The module is told the end of a viewing that played; its place is free.
-    pub(super) fn viewing_ended(&mut self, vw: &ViewingId, outcome: Outcome, out: &mut dyn Orders) {
+    pub(super) fn viewing_ended(&mut self, vw: &ViewingId, outcome: Outcome, out: &mut dyn Effects) {
         let Front { placement, desk } = self;
         let now = desk.now;
         let Some(seat) = desk.seats.remove(vw) else {
@@ -99,15 +103,15 @@
             there.remove(vw);
             if there.is_empty() {
                 desk.there.remove(&seat.server);
-                out.hang_up(&seat.server);
+                out.close_notes(&seat.server);
                 if desk.roster.entry(&seat.server).is_none() {
                     desk.addresses.remove(&seat.server);
                 }
             }
         }
-        let no = TuneInNo(seat.tune_ins.saturating_sub(1));
-        let ended = Ended { no, server: seat.server, outcome, last: true };
-        placement.answer(now, vw, ended, Load::default(), &mut Hand { desk, out });
+        let no = TuneInIndex(seat.tune_ins.saturating_sub(1));
+        let ended = TuneInEnd { tune_in: no, server: seat.server, outcome, last: true };
+        placement.tune_in_ended(now, vw, ended, Load::default(), &mut Hand { desk, out });
     }
 
     pub(super) fn break_watch(&mut self, id: &WatchId) {
@@ -123,7 +127,7 @@
 
 impl Desk {
     /// The final answer to a viewing that does not play.
-    pub(super) fn finish(&mut self, vw: &ViewingId, reply: Reply, out: &mut dyn Orders) {
+    pub(super) fn finish(&mut self, vw: &ViewingId, reply: Reply, out: &mut dyn Effects) {
         let Some(seat) = self.seats.remove(vw) else {
             return;
         };
--- a/front/src/front/hand.rs
+++ b/front/src/front/hand.rs
@@ -1,21 +1,21 @@
 //! What the decisions say is carried out here, while they are being told something.
 
 use super::desk::Desk;
-use super::owed::{Alarm, PROBE_PATIENCE};
-use crate::orders::{Orders, Reply};
-use ottersail::answers::Answers;
-use ottersail::ids::{BellTag, Rung, ServerId, ViewingId};
+use super::owed::{Alarm, PROBE_TIMEOUT};
+use crate::effects::{Effects, Reply};
+use ottersail::actions::PlacementActions;
+use ottersail::ids::{Rung, ServerId, TimerTag, ViewingId};
 use ottersail::time::Ms;
 use tracing::info;
 
 /// Through this the module speaks, while it is being told something.
 pub(super) struct Hand<'a> {
     pub(super) desk: &'a mut Desk,
-    pub(super) out: &'a mut dyn Orders,
+    pub(super) out: &'a mut dyn Effects,
 }
 
-impl Answers for Hand<'_> {
-    fn relay(&mut self, vw: &ViewingId, server: &ServerId, time_out: Ms) {
+impl PlacementActions for Hand<'_> {
+    fn tune_in(&mut self, vw: &ViewingId, server: &ServerId, time_out: Ms) {
         self.desk.relay(vw, server, time_out, self.out);
     }
 
@@ -36,7 +36,7 @@
         self.desk.finish(vw, Reply::Aborted { late }, self.out);
     }
 
-    fn schedule(&mut self, tag: BellTag, at: Ms) {
+    fn schedule(&mut self, tag: TimerTag, at: Ms) {
         self.desk.timers.set(Alarm::Bell(tag.0, at), at);
     }
 
@@ -44,13 +44,13 @@
     fn subscribe(&mut self) {}
 
     /// Its end is told in any case, and never from in here: without an address at the next moment.
-    fn inspect(&mut self, server: &ServerId) {
+    fn probe(&mut self, server: &ServerId) {
         if !self.desk.probes.insert(server.clone()) {
             return;
         }
         self.desk.counts.probes += 1;
         let address = self.desk.addresses.get(server);
-        let until = self.desk.now + address.map_or(Ms(0.0), |_| PROBE_PATIENCE);
+        let until = self.desk.now + address.map_or(Ms(0.0), |_| PROBE_TIMEOUT);
         if let Some(address) = address {
             self.out.probe(server, address);
         }
--- a/front/src/front/notes.rs
+++ b/front/src/front/notes.rs
@@ -4,7 +4,7 @@
 use super::owed::{Alarm, Place};
 use super::tune_ins::load;
 use super::Front;
-use crate::orders::Orders;
+use crate::effects::Effects;
 use ottersail::ids::{ServerId, ViewingId};
 use ottersail::state::{Outcome, Topic};
 use ottersail::time::Ms;
@@ -14,7 +14,7 @@
 
 impl Front {
     /// A server tells of itself.
-    pub fn noted(&mut self, now: Ms, server: &ServerId, note: &Note, out: &mut dyn Orders) {
+    pub fn note_received(&mut self, now: Ms, server: &ServerId, note: &Note, out: &mut dyn Effects) {
         self.at(now);
         match note {
             Note::Alive => {}
@@ -48,7 +48,7 @@
     }
 
     /// A probe was answered, or failed. What comes after it was given up is not told.
-    pub fn probed(&mut self, now: Ms, server: &ServerId, report: Option<Report>, out: &mut dyn Orders) {
+    pub fn probe_ended(&mut self, now: Ms, server: &ServerId, report: Option<Report>, out: &mut dyn Effects) {
         self.at(now);
         if !self.desk.probes.remove(server) {
             return;
@@ -57,16 +57,16 @@
         let outcome = if report.is_some() { Outcome::Served } else { Outcome::NoAnswer };
         let Front { placement, desk } = self;
         let load = report.map(load).unwrap_or_default();
-        placement.echo(now, server, outcome, load, &mut Hand { desk, out });
+        placement.probe_ended(now, server, outcome, load, &mut Hand { desk, out });
     }
 
     /// A note is told on one viewing that plays there, as a rule the oldest.
-    fn tell_load(&mut self, server: &ServerId, topic: Topic, value: Option<f64>, out: &mut dyn Orders) {
+    fn tell_load(&mut self, server: &ServerId, topic: Topic, value: Option<f64>, out: &mut dyn Effects) {
         let Front { placement, desk } = self;
         let playing = |it: &&ViewingId| desk.seats.get(*it).is_some_and(|it| it.place == Place::Playing);
         let vw = desk.there.get(server).and_then(|it| it.iter().find(playing)).cloned();
         if let (Some(vw), Some(value)) = (vw, value) {
-            placement.change(desk.now, &vw, topic, value, server, &mut Hand { desk, out });
+            placement.note_received(desk.now, &vw, topic, value, server, &mut Hand { desk, out });
         }
     }
 }
--- a/front/src/front/owed.rs
+++ b/front/src/front/owed.rs
@@ -1,13 +1,13 @@
 //! Who owes what: viewings that wait for an answer, play or end, and the moments at which somebody is
 //! overdue.
 
-use crate::orders::WatchId;
+use crate::effects::WatchId;
 use ottersail::ids::{Rung, ServerId, ViewingId};
 use ottersail::state::Outcome;
 use ottersail::time::Ms;
 
 /// A probe without an answer is given up after this time.
-pub const PROBE_PATIENCE: Ms = Ms(250.0);
+pub const PROBE_TIMEOUT: Ms = Ms(250.0);
 
 /// What the front waits for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/front/src/front/playlists.rs
+++ b/front/src/front/playlists.rs
@@ -2,7 +2,7 @@
 
 use super::desk::Desk;
 use super::owed::Alarm;
-use crate::orders::{Orders, Reply, WatchId};
+use crate::effects::{Effects, Reply, WatchId};
 use crate::presence;
 use crate::watch::{Play, Stage, Watch};
 use ottersail_hls::{multivariant, read_source, Source, Trouble};
@@ -27,7 +27,7 @@
     }
 
     /// It plays: those who wait are answered, by the way to the playlist or by the playlist itself.
-    pub(super) fn play(&mut self, id: &WatchId, play: Play, out: &mut dyn Orders) {
+    pub(super) fn play(&mut self, id: &WatchId, play: Play, out: &mut dyn Effects) {
         let now = self.now;
         let Some(watch) = self.watches.get_mut(id) else {
             return;
@@ -56,7 +56,7 @@
     }
 
     fn expires(&self) -> u64 {
-        (self.now.0 / 1e3) as u64 + self.house.ticket_s
+        (self.now.0 / 1e3) as u64 + self.house.ticket_lifetime_s
     }
 
     pub(super) fn publish(&mut self, id: &WatchId) -> String {
--- a/front/src/front/requests.rs
+++ b/front/src/front/requests.rs
@@ -4,11 +4,11 @@
 use super::hand::Hand;
 use super::owed::{Alarm, Place, Seat};
 use super::Front;
-use crate::orders::{AskId, Asked, Orders, Reply, WatchId};
+use crate::effects::{Effects, Reply, RequestId, TitleRequest, WatchId};
 use crate::presence;
 use crate::watch::{Stage, Watch};
 use ottersail::ids::{Rung, ViewingId};
-use ottersail::state::Wish;
+use ottersail::state::ViewingRequest;
 use ottersail::time::Ms;
 use ottersail_wire::catalogue::Title;
 use tracing::{debug, info};
@@ -20,7 +20,7 @@
 
 impl Front {
     /// A player asks for a title. It is taken, or answered at once.
-    pub fn asked(&mut self, now: Ms, ask: AskId, asked: Asked, out: &mut dyn Orders) {
+    pub fn request_title(&mut self, now: Ms, ask: RequestId, asked: TitleRequest, out: &mut dyn Effects) {
         let desk = self.at(now);
         if desk.full() {
             desk.counts.turned_away_untaken += 1;
@@ -38,7 +38,7 @@
         if asked.tenant.is_some() && tenant.is_none() {
             return out.reply(ask, Reply::Unfit("no such tenant".into()));
         }
-        if !PATIENCE.contains(&asked.patience) {
+        if !PATIENCE.contains(&asked.patience_ms) {
             let text = format!("patience-ms must be from {} to {}", PATIENCE.start(), PATIENCE.end());
             return out.reply(ask, Reply::Unfit(text));
         }
@@ -65,7 +65,14 @@
 
     /// A player reloads the playlist of its watch; `unread` is the number in the media sequence it wants
     /// next.
-    pub fn reloaded(&mut self, now: Ms, ask: AskId, id: &WatchId, unread: Option<u64>, out: &mut dyn Orders) {
+    pub fn request_playlist(
+        &mut self,
+        now: Ms,
+        ask: RequestId,
+        id: &WatchId,
+        unread: Option<u64>,
+        out: &mut dyn Effects,
+    ) {
         let desk = self.at(now);
         let full = desk.full();
         let Some(watch) = desk.watches.get_mut(id) else {
@@ -96,7 +103,7 @@
     }
 
     /// A player closed its connection before the answer.
-    pub fn left(&mut self, now: Ms, ask: AskId, out: &mut dyn Orders) {
+    pub fn request_closed(&mut self, now: Ms, ask: RequestId, out: &mut dyn Effects) {
         let desk = self.at(now);
         let Some(id) = desk.asks.remove(&ask) else {
             return;
@@ -125,7 +132,7 @@
     }
 
     /// A viewing begins: it is owed one answer, before patience ends.
-    fn take(&mut self, id: WatchId, ask: AskId, out: &mut dyn Orders) {
+    fn take(&mut self, id: WatchId, ask: RequestId, out: &mut dyn Effects) {
         let Front { placement, desk } = self;
         let now = desk.now;
         let Some(watch) = desk.watches.get_mut(&id) else {
@@ -139,16 +146,16 @@
             desk.forget(&id);
             return out.reply(ask, Reply::Unknown("the title is gone".into()));
         };
-        let wish = Wish {
-            vw: vw.clone(),
+        let wish = ViewingRequest {
+            viewing: vw.clone(),
             package: watch.package,
             tenant: watch.tenant,
             title: title.name.as_str().into(),
-            base: title.base,
-            copies: title.copies,
-            best: Rung(watch.asked.best.min(desk.ladder_kb.len().saturating_sub(1))),
-            due: presence::due(now, Ms(watch.asked.patience)),
-            lasts: None,
+            first_cell: title.base,
+            cell_count: title.copies,
+            max_rung: Rung(watch.asked.max_rung.min(desk.ladder_kb.len().saturating_sub(1))),
+            deadline: presence::due(now, Ms(watch.asked.patience_ms)),
+            expected_duration: None,
         };
         debug!(viewing = %vw, title = %title.name, package = %watch.asked.package, "taken");
         desk.timers.cancel(&Alarm::Silent(id.clone()));
@@ -169,7 +176,7 @@
                 late: false,
             },
         );
-        placement.incoming(now, wish, &mut Hand { desk, out });
+        placement.request_viewing(now, wish, &mut Hand { desk, out });
     }
 }
 
@@ -177,8 +184,8 @@
     fn full(&self) -> bool {
         self.draining
             || self.titles.is_none()
-            || self.asks.len() >= self.house.most_waiting
-            || self.watches.len() >= self.house.most_watches
+            || self.asks.len() >= self.house.max_waiting
+            || self.watches.len() >= self.house.max_watches
     }
 
     fn why_full(&self) -> &'static str {
--- a/front/src/front/steps.rs
+++ b/front/src/front/steps.rs
@@ -4,7 +4,7 @@
 use super::hand::Hand;
 use super::owed::Place;
 use super::Front;
-use crate::orders::Orders;
+use crate::effects::Effects;
 use ottersail::ids::{Rung, ViewingId};
 use ottersail::state::Topic;
 use ottersail::time::Ms;
@@ -18,7 +18,7 @@
         vw: &ViewingId,
         rung: usize,
         playlist: Option<&str>,
-        out: &mut dyn Orders,
+        out: &mut dyn Effects,
     ) {
         let desk = self.at(now);
         let Some(seat) = desk.seats.get_mut(vw).filter(|it| it.changing == Some(Rung(rung))) else {
@@ -61,14 +61,14 @@
             None => {
                 let Front { placement, desk } = self;
                 let value = in_force.0 as f64;
-                placement.change(now, vw, Topic::RungInForce, value, &server, &mut Hand { desk, out });
+                placement.note_received(now, vw, Topic::RungInForce, value, &server, &mut Hand { desk, out });
             }
         }
     }
 }
 
 impl Desk {
-    pub(super) fn step_to(&mut self, vw: &ViewingId, rung: Rung, out: &mut dyn Orders) {
+    pub(super) fn step_to(&mut self, vw: &ViewingId, rung: Rung, out: &mut dyn Effects) {
         let Some(seat) = self.seats.get_mut(vw) else {
             return;
         };
--- a/front/src/front/tune_ins.rs
+++ b/front/src/front/tune_ins.rs
@@ -4,10 +4,10 @@
 use super::hand::Hand;
 use super::owed::{Alarm, Place};
 use super::Front;
-use crate::decisions::Ended;
-use crate::orders::{Orders, SetUp, SetUpEnd};
+use crate::decisions::TuneInEnd;
+use crate::effects::{Effects, SetUp, SetUpEnd};
 use crate::watch::{Play, Stage};
-use ottersail::ids::{ServerId, TuneInNo, ViewingId};
+use ottersail::ids::{ServerId, TuneInIndex, ViewingId};
 use ottersail::state::{Load, Outcome, Topic};
 use ottersail::time::Ms;
 use ottersail_hls::Source;
@@ -24,7 +24,7 @@
         no: usize,
         end: SetUpEnd,
         report: Report,
-        out: &mut dyn Orders,
+        out: &mut dyn Effects,
     ) {
         let desk = self.at(now);
         let Some(seat) = desk.seats.get_mut(vw) else {
@@ -45,7 +45,7 @@
                     Err(trouble) => {
                         warn!(viewing = %vw, server = %server, cause = %trouble, "unfit playlist");
                         let address = desk.seats[vw].address.clone();
-                        out.call_off(vw, no, &server, &address);
+                        out.cancel_set_up(vw, no, &server, &address);
                         Outcome::ServerError
                     }
                 }
@@ -65,7 +65,7 @@
         server: &ServerId,
         source: Rc<Source>,
         report: Report,
-        out: &mut dyn Orders,
+        out: &mut dyn Effects,
     ) {
         let Front { placement, desk } = self;
         let now = desk.now;
@@ -79,14 +79,21 @@
         desk.counts.played += 1;
         let there = desk.there.entry(server.clone()).or_default();
         if there.is_empty() {
-            out.listen(server, &address);
+            out.open_notes(server, &address);
         }
         there.insert(vw.clone());
         desk.play(&id, Play { vw: vw.clone(), address, rung, source }, out);
-        placement.first(now, vw, server, &mut Hand { desk, out });
+        placement.viewing_started(now, vw, server, &mut Hand { desk, out });
         for (topic, value) in [(Topic::LinkAsked, report.link), (Topic::UplinkAsked, report.uplink)] {
             if let Some(value) = value {
-                self.placement.change(now, vw, topic, value, server, &mut Hand { desk: &mut self.desk, out });
+                self.placement.note_received(
+                    now,
+                    vw,
+                    topic,
+                    value,
+                    server,
+                    &mut Hand { desk: &mut self.desk, out },
+                );
             }
         }
     }
@@ -96,7 +103,7 @@
         vw: &ViewingId,
         outcome: Outcome,
         load: Load,
-        out: &mut dyn Orders,
+        out: &mut dyn Effects,
     ) {
         let Front { placement, desk } = self;
         let now = desk.now;
@@ -107,13 +114,13 @@
         seat.place = Place::Waiting;
         let (no, server) = (seat.tune_ins - 1, seat.server.clone());
         debug!(viewing = %vw, server = %server, no, ?outcome, "tune-in failed");
-        let ended = Ended { no: TuneInNo(no), server, outcome, last: false };
-        placement.answer(now, vw, ended, load, &mut Hand { desk, out });
+        let ended = TuneInEnd { tune_in: TuneInIndex(no), server, outcome, last: false };
+        placement.tune_in_ended(now, vw, ended, load, &mut Hand { desk, out });
     }
 }
 
 impl Desk {
-    pub(super) fn relay(&mut self, vw: &ViewingId, server: &ServerId, time_out: Ms, out: &mut dyn Orders) {
+    pub(super) fn relay(&mut self, vw: &ViewingId, server: &ServerId, time_out: Ms, out: &mut dyn Effects) {
         let Some(seat) = self.seats.get_mut(vw) else {
             return;
         };
@@ -127,17 +134,17 @@
         self.timers.set(Alarm::TuneIn(vw.clone()), self.now + time_out);
         info!(viewing = %vw, server = %server, rung = seat.rung.0, no, time_out = time_out.0, "tune-in");
         // Guards against a set-up that rests on a lease and leaves after it, when another holds that part.
-        let by = self.now + time_out.min(self.house.send_within);
-        let send_by = self.part.iter().fold(by, |by, it| by.min(Ms(it.until)));
+        let by = self.now + time_out.min(self.house.max_send_delay);
+        let send_by = self.part.iter().fold(by, |by, it| by.min(Ms(it.lease_end_ms)));
         out.set_up(&SetUp {
-            vw: vw.clone(),
-            no,
+            viewing: vw.clone(),
+            tune_in: no,
             server: server.clone(),
             address,
             title: watch.asked.title.as_str().into(),
             package: watch.asked.package.clone(),
             rung: seat.rung,
-            ask: match &watch.stage {
+            request: match &watch.stage {
                 Stage::Waiting { asks, .. } => asks.first().copied(),
                 _ => None,
             },
--- a/front/src/lib.rs
+++ b/front/src/lib.rs
@@ -7,21 +7,21 @@
 
 pub mod baseline;
 pub mod decisions;
+pub mod effects;
 mod front;
-pub mod orders;
 pub mod presence;
+pub mod recording;
 pub mod roster;
-pub mod tape;
 mod timers;
 mod watch;
 
-pub use front::{Counts, Front, House, PROBE_PATIENCE};
-pub use orders::{AskId, Asked, Orders, Part, Reply, SetUp, SetUpEnd, WatchId};
-pub use ottersail::answers::Answers;
+pub use effects::{Effects, Reply, RequestId, SetUp, SetUpEnd, SlotShare, TitleRequest, WatchId};
+pub use front::{Counts, Front, FrontSettings, PROBE_TIMEOUT};
+pub use ottersail::actions::PlacementActions;
+pub use ottersail::config;
 pub use ottersail::ids;
 pub use ottersail::placement::Placement;
 pub use ottersail::state;
-pub use ottersail::terms;
 pub use ottersail::time::Ms;
 
 #[cfg(test)]
--- a/front/src/roster.rs
+++ b/front/src/roster.rs
@@ -3,7 +3,7 @@
 //! servers must not be forgotten for the first, nor the new list refused for ever for the second.
 
 use ottersail::ids::ServerId;
-use ottersail::state::{Availability, Entry};
+use ottersail::state::{Availability, ServerEntry};
 use ottersail::time::Ms;
 use std::collections::BTreeMap;
 
@@ -14,14 +14,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     index: u64,
-    known: BTreeMap<ServerId, Entry>,
+    known: BTreeMap<ServerId, ServerEntry>,
     /// Since when lists have been from before, the last such index, and how often it moved on.
     back: Option<(Ms, u64, u32)>,
 }
 
 impl Roster {
     /// Takes a whole list; gives the entries that changed. What is missing from it is gone.
-    pub fn take(&mut self, now: Ms, index: u64, list: Vec<Entry>) -> Vec<Entry> {
+    pub fn take(&mut self, now: Ms, index: u64, list: Vec<ServerEntry>) -> Vec<ServerEntry> {
         let older = self.older(now, index);
         let mut changed = Vec::new();
         let mut missing = self.known.clone();
@@ -42,7 +42,7 @@
         // same.
         let lost = if older { Availability::Leaving } else { Availability::Gone };
         for entry in missing.into_values().filter(|it| it.availability != lost) {
-            changed.push(Entry { availability: lost, ..entry });
+            changed.push(ServerEntry { availability: lost, ..entry });
         }
         for entry in &changed {
             match entry.availability {
@@ -69,7 +69,7 @@
         true
     }
 
-    pub fn entry(&self, server: &ServerId) -> Option<&Entry> {
+    pub fn entry(&self, server: &ServerId) -> Option<&ServerEntry> {
         self.known.get(server)
     }
 
@@ -87,8 +87,8 @@
     use super::*;
     use ottersail::ids::Cell;
 
-    fn entry(server: &str, availability: Availability) -> Entry {
-        Entry {
+    fn entry(server: &str, availability: Availability) -> ServerEntry {
+        ServerEntry {
             kind: "k".into(),
             cell: Cell(0),
             availability,
@@ -99,7 +99,7 @@
         }
     }
 
-    fn told(changes: Vec<Entry>) -> Vec<(String, Availability)> {
+    fn told(changes: Vec<ServerEntry>) -> Vec<(String, Availability)> {
         changes.into_iter().map(|it| (it.server.to_string(), it.availability)).collect()
     }
 
--- a/front/src/tests/history.rs
+++ b/front/src/tests/history.rs
@@ -2,7 +2,7 @@
 
 use super::stage::{playing, set_up, three, SetUpSaid, Stage};
 use crate::ids::{ServerId, ViewingId};
-use crate::{AskId, SetUpEnd, WatchId};
+use crate::{RequestId, SetUpEnd, WatchId};
 use ottersail_wire::catalogue::Standing;
 use ottersail_wire::notes::Note;
 use ottersail_wire::report::Report;
@@ -94,7 +94,7 @@
                 (5, _) if stage.asks > 0 => {
                     let ask = 1 + which as u64 % stage.asks;
                     left.insert(ask);
-                    stage.does(|front, now, out| front.left(now, AskId(ask), out));
+                    stage.does(|front, now, out| front.request_closed(now, RequestId(ask), out));
                 }
                 (6, _) if !watches.is_empty() => {
                     let id = watches[which % watches.len()].clone();
@@ -114,13 +114,13 @@
                     let list = three([0, 1, 2].map(standing));
                     let told = list.iter().filter(|it| it.standing != Standing::Up);
                     draining = told.map(|it| it.id.clone()).collect();
-                    stage.does(|front, now, out| front.listed(now, index, &list, out));
+                    stage.does(|front, now, out| front.servers_listed(now, index, &list, out));
                 }
                 (9, _) => {
                     let server = ServerId::from(format!("box-{}", which % 3).as_str());
                     let link = Some(which as f64 / 2.0);
                     let note = Note::Load(Report { link, ..Report::default() });
-                    stage.does(|front, now, out| front.noted(now, &server, &note, out));
+                    stage.does(|front, now, out| front.note_received(now, &server, &note, out));
                 }
                 _ => {
                     let said = stage.passes(span);
@@ -146,6 +146,6 @@
             prop_assert!(watchman.answered.contains(ask), "request {} has no answer", ask);
         }
         stage.passes(120_000.0);
-        prop_assert_eq!((stage.front.watches(), stage.front.viewings(), stage.front.waiting()), (0, 0, 0));
+        prop_assert_eq!((stage.front.watch_count(), stage.front.viewing_count(), stage.front.waiting_requests()), (0, 0, 0));
     }
 }
--- a/front/src/tests/stage.rs
+++ b/front/src/tests/stage.rs
@@ -1,9 +1,9 @@
 //! A front with three servers, and what is read from what it said.
 
-use crate::ids::{ManagerIx, Rung, ViewingId};
-use crate::tape::Scribe;
-use crate::terms::{Budget, ColdPace, Package, Repeat, Terms};
-use crate::{AskId, Asked, Front, House, Ms, Orders, SetUpEnd, WatchId};
+use crate::config::{ColdStart, Package, PlacementConfig, RequestSemantics, ResendBudget};
+use crate::ids::{ManagerIndex, Rung, ViewingId};
+use crate::recording::EffectRecorder;
+use crate::{Effects, Front, FrontSettings, Ms, RequestId, SetUpEnd, TitleRequest, WatchId};
 use ottersail_signed_urls::Keys;
 use ottersail_wire::catalogue::{Listed, Standing, Title};
 use ottersail_wire::report::Report;
@@ -16,14 +16,14 @@
 
 pub(super) const START: f64 = 1_000_000.0;
 
-pub(super) fn package(name: &str, repeat: Repeat, floor: usize, seats: usize) -> Package {
+pub(super) fn package(name: &str, repeat: RequestSemantics, floor: usize, seats: usize) -> Package {
     let (value, join_target, scale, top) = (1.0, Ms(800.0), 1.0, Rung(2));
     Package {
         name: name.into(),
         value,
         join_target,
-        repeat,
-        scale,
+        semantics: repeat,
+        rate_scale: scale,
         floor: Rung(floor),
         top,
         seats,
@@ -31,55 +31,55 @@
     }
 }
 
-pub(super) fn terms() -> Terms {
-    Terms {
-        me: ManagerIx(0),
-        managers: 1.0,
+pub(super) fn terms() -> PlacementConfig {
+    PlacementConfig {
+        manager: ManagerIndex(0),
+        manager_count: 1.0,
         zone: "a".into(),
         packages: vec![
-            package("clips", Repeat::Idempotent, 0, 0),
-            package("rides", Repeat::AtMostOnce, 1, 1),
+            package("clips", RequestSemantics::Idempotent, 0, 0),
+            package("rides", RequestSemantics::AtMostOnce, 1, 1),
         ],
         tenants: Vec::new(),
         ladder_kb: vec![100.0, 200.0, 400.0],
-        worth: Vec::new(),
-        join: 1.0,
+        rung_values: Vec::new(),
+        live_join_share: 1.0,
         cells: 3,
         racks: 1,
         link_unit_kb: 10_000.0,
         uplink_kb: 0.0,
         uplinks_reported: true,
         reports_on_probe: false,
-        weights_told: true,
-        places: BTreeMap::new(),
-        seen_after: Ms(500.0),
-        reports_every: Ms(2000.0),
+        weights_listed: true,
+        places_by_kind: BTreeMap::new(),
+        report_delay: Ms(500.0),
+        report_interval: Ms(2000.0),
         change_cost: Ms(300.0),
         max_tune_ins: 3,
         max_stay_away: Some(Ms(1000.0)),
         must_subscribe: false,
-        cross_price: 0.0,
-        cold: ColdPace {
-            lasts: Ms(0.0),
+        cross_zone_price: 0.0,
+        cold: ColdStart {
+            warm_up: Ms(0.0),
             start_capacity: 0.5,
             fall_multiple: 3.0,
             fall_window: Ms(1000.0),
-            arrives_within: Ms(0.0),
+            max_send_delay: Ms(0.0),
         },
-        budget: Some(Budget { free: 50.0, ratio: 0.5, span: Ms(10_000.0) }),
+        budget: Some(ResendBudget { free_resends: 50.0, ratio: 0.5, window: Ms(10_000.0) }),
         tick: Ms(1.0),
     }
 }
 
-pub(super) fn house() -> House {
-    House {
+pub(super) fn house() -> FrontSettings {
+    FrontSettings {
         url: "http://m".into(),
         keys: Keys::read("k AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA").unwrap(),
-        ticket_s: 60,
-        most_waiting: 8,
-        most_watches: 20,
-        send_within: Ms(250.0),
-        linger: Ms(1000.0),
+        ticket_lifetime_s: 60,
+        max_waiting: 8,
+        max_watches: 20,
+        max_send_delay: Ms(250.0),
+        end_timeout: Ms(1000.0),
     }
 }
 
@@ -117,9 +117,9 @@
         Stage::of(terms())
     }
 
-    pub(super) fn of(terms: Terms) -> Stage {
+    pub(super) fn of(terms: PlacementConfig) -> Stage {
         let mut said = Vec::new();
-        let out = &mut Scribe { lines: &mut said, out: None };
+        let out = &mut EffectRecorder { lines: &mut said, effects: None };
         let front = Front::new(Ms(START), 7, terms, house(), out);
         Stage { front, now: START, said, asks: 0 }
     }
@@ -128,32 +128,37 @@
         let mut stage = self;
         stage.does(|front, now, out| {
             let title = |name: &str| Title { name: name.into(), base: 0, copies: 3 };
-            front.titled(now, &[title("t"), title("u")]);
-            front.listed(now, 1, &three([Standing::Up; 3]), out);
+            front.titles_listed(now, &[title("t"), title("u")]);
+            front.servers_listed(now, 1, &three([Standing::Up; 3]), out);
         });
         stage
     }
 
-    pub(super) fn does(&mut self, it: impl FnOnce(&mut Front, Ms, &mut dyn Orders)) -> Vec<String> {
+    pub(super) fn does(&mut self, it: impl FnOnce(&mut Front, Ms, &mut dyn Effects)) -> Vec<String> {
         let from = self.said.len();
-        it(&mut self.front, Ms(self.now), &mut Scribe { lines: &mut self.said, out: None });
+        it(&mut self.front, Ms(self.now), &mut EffectRecorder { lines: &mut self.said, effects: None });
         self.said[from..].to_vec()
     }
 
     pub(super) fn asks(&mut self, package: &str) -> Vec<String> {
         self.asks += 1;
-        let ask = AskId(self.asks);
-        let asked =
-            Asked { title: "t".into(), package: package.into(), tenant: None, best: 9, patience: 4000.0 };
-        self.does(|front, now, out| front.asked(now, ask, asked, out))
+        let ask = RequestId(self.asks);
+        let asked = TitleRequest {
+            title: "t".into(),
+            package: package.into(),
+            tenant: None,
+            max_rung: 9,
+            patience_ms: 4000.0,
+        };
+        self.does(|front, now, out| front.request_title(now, ask, asked, out))
     }
 
     /// Lets time pass, ringing the front whenever it wants to be rung.
     pub(super) fn passes(&mut self, span: f64) -> Vec<String> {
         let (from, end) = (self.said.len(), self.now + span);
-        while let Some(due) = self.front.next_due().filter(|it| it.0 <= end) {
+        while let Some(due) = self.front.next_timer().filter(|it| it.0 <= end) {
             self.now = self.now.max(due.0);
-            self.does(|front, now, out| front.time_has_come(now, out));
+            self.does(|front, now, out| front.run_due_timers(now, out));
         }
         self.now = end;
         self.said[from..].to_vec()
@@ -175,8 +180,8 @@
 
     pub(super) fn reloads(&mut self, id: &WatchId, unread: Option<u64>) -> Vec<String> {
         self.asks += 1;
-        let ask = AskId(self.asks);
-        self.does(|front, now, out| front.reloaded(now, ask, id, unread, out))
+        let ask = RequestId(self.asks);
+        self.does(|front, now, out| front.request_playlist(now, ask, id, unread, out))
     }
 }
 
--- a/front/src/tests/tune_ins.rs
+++ b/front/src/tests/tune_ins.rs
@@ -1,7 +1,7 @@
 //! Tune-ins that come to nothing, or too late.
 
 use super::stage::{all_set_ups, has, playing, set_up, Stage, LIST};
-use crate::{AskId, SetUpEnd};
+use crate::{RequestId, SetUpEnd};
 
 #[test]
 fn a_late_answer_of_a_timed_out_set_up_changes_nothing() {
@@ -24,7 +24,7 @@
     assert!(has(&said, "reply 1 Aborted { late: true }"), "{said:?}");
     assert_eq!(all_set_ups(&said), [], "an unsafe package is not sent again");
     assert_eq!(stage.ends(&first, playing()), Vec::<String>::new());
-    assert_eq!(stage.front.viewings(), 0);
+    assert_eq!(stage.front.viewing_count(), 0);
 }
 
 #[test]
@@ -32,7 +32,7 @@
     let mut stage = Stage::new();
     let first = set_up(&stage.asks("rides"));
     assert!(has(&stage.asks("rides"), "reply 2 Blocked"), "one seat for the title");
-    let said = stage.does(|front, now, out| front.left(now, AskId(1), out));
+    let said = stage.does(|front, now, out| front.request_closed(now, RequestId(1), out));
     assert!(has(&said, &format!("call_off {} 0", first.vw)), "{said:?}");
     assert_eq!(all_set_ups(&stage.asks("rides")).len(), 1, "the seat can be had again");
     assert!(!has(&stage.said, "reply 1 "), "nobody waits for an answer any more");
--- a/front/src/tests/viewings.rs
+++ b/front/src/tests/viewings.rs
@@ -2,7 +2,7 @@
 
 use super::stage::{all_set_ups, has, playing, set_up, Stage, LIST};
 use crate::ids::ServerId;
-use crate::AskId;
+use crate::RequestId;
 use ottersail_wire::notes::{EndCause, Note};
 use ottersail_wire::report::Report;
 use test_case::test_case;
@@ -23,7 +23,7 @@
     assert!(has(&stage.reloads(&id, Some(7)), "ENDLIST"));
     let said = stage.passes(60_000.0);
     assert!(has(&said, &format!("let_go {}", set_up.vw)), "{said:?}");
-    assert_eq!((stage.front.watches(), stage.front.viewings()), (0, 0));
+    assert_eq!((stage.front.watch_count(), stage.front.viewing_count()), (0, 0));
     assert!(has(&said, &format!("hang_up {}", set_up.server)));
 }
 
@@ -35,7 +35,7 @@
     // The link is overrun: the module steps it down.
     let server = ServerId::from(first.server.as_str());
     let note = Note::Load(Report { link: Some(40.0), ..Report::default() });
-    stage.does(|front, now, out| front.noted(now, &server, &note, out));
+    stage.does(|front, now, out| front.note_received(now, &server, &note, out));
     let said = stage.passes(3000.0);
     assert!(has(&said, &format!("change_rung {} {} 127.", first.vw, first.server)), "{said:?}");
     stage.does(|front, now, out| front.rung_changed(now, &first.vw, 1, Some(LIST), out));
@@ -50,10 +50,13 @@
 fn a_viewer_who_leaves_as_the_answer_comes_is_found_out_by_silence() {
     let mut stage = Stage::new();
     let (first, _) = stage.plays();
-    assert_eq!(stage.does(|front, now, out| front.left(now, AskId(1), out)), Vec::<String>::new());
+    assert_eq!(
+        stage.does(|front, now, out| front.request_closed(now, RequestId(1), out)),
+        Vec::<String>::new()
+    );
     let said = stage.passes(20_000.0);
     assert!(has(&said, &format!("let_go {}", first.vw)), "{said:?}");
-    assert_eq!(stage.front.viewings(), 0, "ended without the server's word after it lingered");
+    assert_eq!(stage.front.viewing_count(), 0, "ended without the server's word after it lingered");
 }
 
 #[test_case(Some(2) => 2; "the player tells what it lacks")]
@@ -84,7 +87,7 @@
     let (first, id) = stage.plays();
     let server = ServerId::from(first.server.as_str());
     let note = Note::Ended { viewing: first.vw.to_string(), cause: EndCause::Left };
-    stage.does(|front, now, out| front.noted(now, &server, &note, out));
-    assert_eq!(stage.front.viewings(), 0);
+    stage.does(|front, now, out| front.note_received(now, &server, &note, out));
+    assert_eq!(stage.front.viewing_count(), 0);
     assert_eq!(all_set_ups(&stage.reloads(&id, None)).len(), 1, "who still reloads comes again");
 }
--- a/front/src/watch.rs
+++ b/front/src/watch.rs
@@ -1,8 +1,8 @@
 //! One viewer watching one title, and the playlist that is published for it.
 
-use crate::orders::{AskId, Asked, WatchId};
+use crate::effects::{RequestId, TitleRequest, WatchId};
 use crate::presence;
-use ottersail::ids::{PackageIx, Rung, TenantIx, ViewingId};
+use ottersail::ids::{PackageIndex, Rung, TenantIndex, ViewingId};
 use ottersail::time::Ms;
 use ottersail_hls::{Edition, Piece, Source};
 use ottersail_signed_urls::{Claim, Keys};
@@ -22,7 +22,7 @@
     /// A viewing was taken; these requests wait for its answer.
     Waiting {
         vw: ViewingId,
-        asks: Vec<AskId>,
+        asks: Vec<RequestId>,
     },
     Playing(Play),
     /// Its viewing broke off; the next reload is the viewer's coming again.
@@ -31,9 +31,9 @@
 
 #[derive(Debug)]
 pub struct Watch {
-    pub asked: Asked,
-    pub package: PackageIx,
-    pub tenant: Option<TenantIx>,
+    pub asked: TitleRequest,
+    pub package: PackageIndex,
+    pub tenant: Option<TenantIndex>,
     /// Viewings so far.
     pub viewings: u32,
     pub stage: Stage,
--- a/leases/src/ids.rs
+++ b/leases/src/ids.rs
@@ -44,7 +44,7 @@
 pub struct At(pub Ms);
 
 impl At {
-    pub const NEVER: At = At(Ms::LONG_AGO);
+    pub const NEVER: At = At(Ms::DISTANT_PAST);
 }
 
 impl Hash for At {
--- a/membership/src/apply.rs
+++ b/membership/src/apply.rs
@@ -86,7 +86,7 @@
         peer.known.site.clone_from(&place.site);
         if other_life {
             peer.known.riders.clear();
-            (peer.acked, peer.heard) = (Ms::LONG_AGO, Ms::LONG_AGO);
+            (peer.acked, peer.heard) = (Ms::DISTANT_PAST, Ms::DISTANT_PAST);
         }
         self.spread(news.clone());
         let why = if other_life { Why::Joined } else { Why::Refuted };
--- a/membership/src/machine.rs
+++ b/membership/src/machine.rs
@@ -70,7 +70,7 @@
             rumours: BTreeMap::new(),
             carried: BTreeMap::new(),
             health: 0,
-            any_heard: Ms::LONG_AGO,
+            any_heard: Ms::DISTANT_PAST,
             round_trip: terms.period * 0.05,
             next_period: now,
             next_gossip: now,
--- a/membership/src/peer.rs
+++ b/membership/src/peer.rs
@@ -37,7 +37,7 @@
             riders: BTreeMap::new(),
             since: now,
         };
-        Peer { known, suspicion: None, acked: Ms::LONG_AGO, heard: Ms::LONG_AGO }
+        Peer { known, suspicion: None, acked: Ms::DISTANT_PAST, heard: Ms::DISTANT_PAST }
     }
 
     pub fn place(&self) -> Place {
--- a/simulation/src/experiment.rs
+++ b/simulation/src/experiment.rs
@@ -191,7 +191,7 @@
             .map_err(|complaints| LabError::Unfit { path: day.into(), complaints: complaints.into() })?;
         let pick = self.pick;
         let model = Model::with(&plan, seed, move |now, seed, terms, out| match pick {
-            None => Box::new(Placement::born(now, seed, terms, out)),
+            None => Box::new(Placement::new(now, seed, terms, out)),
             Some(pick) => Box::new(Baseline::new(terms, pick, seed)),
         });
         let mut model = model.map_err(|source| LabError::Model { day: day.into(), source })?;
--- a/simulation/src/model.rs
+++ b/simulation/src/model.rs
@@ -24,10 +24,10 @@
 use kept::{Kept, Post, Viewer};
 use ottersail_daemon::settings::day::Plan;
 use ottersail_fake_servers::{Fault, FaultKind};
+use ottersail_front::config::PlacementConfig;
 use ottersail_front::decisions::Decisions;
-use ottersail_front::tape::Told;
-use ottersail_front::terms::Terms;
-use ottersail_front::{Answers, Ms, Placement};
+use ottersail_front::recording::FrontInput;
+use ottersail_front::{Ms, Placement, PlacementActions};
 use ottersail_signed_urls::Keys;
 use ottersail_wire::catalogue::Listed;
 use std::collections::BTreeMap;
@@ -40,7 +40,7 @@
 const SILENCE: f64 = 3_000.0;
 
 /// Makes the decisions of a manager that begins: the time, a seed, its terms.
-pub type Decide = Box<dyn Fn(Ms, u64, Terms, &mut dyn Answers) -> Box<dyn Decisions>>;
+pub type Decide = Box<dyn Fn(Ms, u64, PlacementConfig, &mut dyn PlacementActions) -> Box<dyn Decisions>>;
 
 pub struct Model {
     decide: Decide,
@@ -80,7 +80,7 @@
     /// # Errors
     /// If a fault is one that has no meaning without sockets.
     pub fn new(plan: &Plan, seed: u64) -> Result<Model, ModelError> {
-        Model::with(plan, seed, |now, seed, terms, out| Box::new(Placement::born(now, seed, terms, out)))
+        Model::with(plan, seed, |now, seed, terms, out| Box::new(Placement::new(now, seed, terms, out)))
     }
 
     /// With other decisions than the module's, for comparison.
@@ -90,7 +90,7 @@
     pub fn with(
         plan: &Plan,
         seed: u64,
-        decide: impl Fn(Ms, u64, Terms, &mut dyn Answers) -> Box<dyn Decisions> + 'static,
+        decide: impl Fn(Ms, u64, PlacementConfig, &mut dyn PlacementActions) -> Box<dyn Decisions> + 'static,
     ) -> Result<Model, ModelError> {
         let day = &plan.day;
         use FaultKind as Kind;
@@ -224,7 +224,7 @@
                 let post = &mut self.posts[manager.0];
                 if post.life == life {
                     post.armed = f64::INFINITY;
-                    self.tell(manager, Told::TimeHasCome);
+                    self.tell(manager, FrontInput::TimersDue);
                 }
             }
             Event::Order { manager, order } => self.order(manager, *order),
--- a/simulation/src/model/asking.rs
+++ b/simulation/src/model/asking.rs
@@ -5,15 +5,20 @@
 use super::Model;
 use crate::links::Manager;
 use crate::player::read;
-use ottersail_front::tape::Told;
-use ottersail_front::{AskId, Asked, Reply, WatchId};
+use ottersail_front::recording::FrontInput;
+use ottersail_front::{Reply, RequestId, TitleRequest, WatchId};
 
 /// Stalled for so long a viewer leaves, in milliseconds.
 const STARVED: f64 = 20_000.0;
 
 impl Model {
     /// Sends a request, for which an answer is owed.
-    pub(super) fn ask(&mut self, viewer: usize, first: bool, told: impl FnOnce(AskId, &Viewer) -> Told) {
+    pub(super) fn ask(
+        &mut self,
+        viewer: usize,
+        first: bool,
+        told: impl FnOnce(RequestId, &Viewer) -> FrontInput,
+    ) {
         self.asks += 1;
         let ask = self.asks;
         let package = self.viewers[viewer].wanted.package;
@@ -23,7 +28,7 @@
         let now = self.now;
         let it = &mut self.viewers[viewer];
         it.ask = Some((ask, now, first));
-        let (manager, told) = (it.manager, told(AskId(ask), it));
+        let (manager, told) = (it.manager, told(RequestId(ask), it));
         let title = self.viewers[viewer].wanted.title;
         if first {
             self.titles.entry((package, title)).or_default().0 += 1;
@@ -48,7 +53,7 @@
         let manager = self.viewers[viewer].manager;
         let dead = self.posts[manager.0].front.is_none();
         if self.posts[manager.0].asks.remove(&ask).is_some() {
-            self.notify(manager, 0.0, Told::Left { ask: AskId(ask) });
+            self.notify(manager, 0.0, FrontInput::RequestClosed { request: RequestId(ask) });
         }
         if first {
             *(if leaves {
@@ -90,14 +95,17 @@
                 it.tries += 1;
                 (it.asked_at, it.failures) = (now, 0);
                 let package = &day.packages[it.wanted.package];
-                let asked = Asked {
+                let asked = TitleRequest {
                     title: format!("{}-{}", package.name, it.wanted.title),
                     package: package.name.clone(),
                     tenant: it.wanted.tenant.clone(),
-                    best: it.wanted.best,
-                    patience: package.patience,
+                    max_rung: it.wanted.best,
+                    patience_ms: package.patience,
                 };
-                self.ask(viewer, true, |ask, _| Told::Asked { ask, asked });
+                self.ask(viewer, true, |ask, _| FrontInput::TitleRequested {
+                    request: ask,
+                    title_request: asked,
+                });
             }
             Step::Reload => {
                 let it = &self.viewers[viewer];
@@ -107,10 +115,10 @@
                 if now - it.began > it.wanted.leaves || it.buffer.stalled > STARVED {
                     return self.leaves(viewer);
                 }
-                self.ask(viewer, false, |ask, it| Told::Reloaded {
-                    ask,
+                self.ask(viewer, false, |ask, it| FrontInput::PlaylistRequested {
+                    request: ask,
                     watch,
-                    unread: Some(it.buffer.next),
+                    next_sequence: Some(it.buffer.next),
                 });
             }
             Step::Fetch => self.fetch(viewer),
--- a/simulation/src/model/event.rs
+++ b/simulation/src/model/event.rs
@@ -2,7 +2,7 @@
 
 use super::wishes::Order;
 use crate::links::{Manager, ServerNo};
-use ottersail_front::tape::Told;
+use ottersail_front::recording::FrontInput;
 use ottersail_front::Reply;
 
 pub enum Event {
@@ -30,7 +30,7 @@
     Front {
         manager: Manager,
         life: u32,
-        told: Box<Told>,
+        told: Box<FrontInput>,
     },
     Wake {
         manager: Manager,
--- a/simulation/src/model/faults.rs
+++ b/simulation/src/model/faults.rs
@@ -4,7 +4,7 @@
 use super::Model;
 use crate::links::{Manager, ServerNo};
 use ottersail_fake_servers::FaultKind;
-use ottersail_front::tape::Told;
+use ottersail_front::recording::FrontInput;
 
 impl Model {
     pub(super) fn pick(&mut self, part: f64) -> Vec<ServerNo> {
@@ -33,7 +33,8 @@
             Kind::ListSilent | Kind::ListFailing => {
                 self.list_held = on;
                 if on && fault.kind == Kind::ListFailing {
-                    (0..self.posts.len()).for_each(|it| self.notify(Manager(it), 0.0, Told::ListFailed));
+                    (0..self.posts.len())
+                        .for_each(|it| self.notify(Manager(it), 0.0, FrontInput::ListFailed));
                 }
                 self.hear_news();
             }
--- a/simulation/src/model/kept.rs
+++ b/simulation/src/model/kept.rs
@@ -3,7 +3,7 @@
 use crate::crowd::Wanted;
 use crate::links::Manager;
 use crate::player::{Buffer, Segment};
-use ottersail_front::tape::Told;
+use ottersail_front::recording::FrontInput;
 use ottersail_front::{Front, WatchId};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,7 +13,7 @@
     pub armed: f64,
     /// It stands still until then; what comes waits.
     pub still_until: f64,
-    pub waits: Vec<Told>,
+    pub waits: Vec<FrontInput>,
     pub asks: BTreeMap<u64, usize>,
 }
 
--- a/simulation/src/model/list.rs
+++ b/simulation/src/model/list.rs
@@ -5,7 +5,7 @@
 use super::Model;
 use crate::links::{Manager, ServerNo};
 use crate::player::address;
-use ottersail_front::tape::Told;
+use ottersail_front::recording::FrontInput;
 use ottersail_wire::catalogue::{Listed, Standing};
 
 /// The list's news reach a manager within so long of being told, in milliseconds.
@@ -52,7 +52,11 @@
         let list: Vec<Listed> = self.list.values().cloned().collect();
         for ix in 0..self.posts.len() {
             let span = self.rng.f64() * PICK_UP;
-            self.notify(Manager(ix), span, Told::Listed { index: self.index, list: list.clone() });
+            self.notify(
+                Manager(ix),
+                span,
+                FrontInput::ServersListed { index: self.index, list: list.clone() },
+            );
         }
     }
 }
--- a/simulation/src/model/managers.rs
+++ b/simulation/src/model/managers.rs
@@ -5,30 +5,31 @@
 use super::Model;
 use crate::links::Manager;
 use crate::parts::{By, Parts};
-use ottersail_front::ids::ManagerIx;
-use ottersail_front::tape::Told;
-use ottersail_front::{Front, House, Ms};
+use ottersail_front::ids::ManagerIndex;
+use ottersail_front::recording::FrontInput;
+use ottersail_front::{Front, FrontSettings, Ms};
 use ottersail_wire::catalogue::Title;
 
 impl Model {
     pub(super) fn begin(&mut self, manager: Manager) {
         let day = &self.plan.day;
         let mut terms = self.plan.terms.clone();
-        terms.me = ManagerIx(manager.0 as u64);
+        terms.manager = ManagerIndex(manager.0 as u64);
         terms.zone = day.zones[manager.0 % day.zones.len()].as_str().into();
-        let house = House {
+        let house = FrontSettings {
             url: format!("http://manager-{}", manager.0),
             keys: self.keys.clone(),
-            ticket_s: 600,
-            most_waiting: 100_000,
-            most_watches: 1_000_000,
-            send_within: Ms(self.plan.grace.0 * 0.25),
-            linger: Ms(1000.0),
+            ticket_lifetime_s: 600,
+            max_waiting: 100_000,
+            max_watches: 1_000_000,
+            max_send_delay: Ms(self.plan.grace.0 * 0.25),
+            end_timeout: Ms(1000.0),
         };
         let mut wishes = Wishes::default();
         let (now, seed) = (Ms(self.now), self.rng.u64(..));
-        let front =
-            Front::with(now, terms, house, &mut wishes, |terms, out| (self.decide)(now, seed, terms, out));
+        let front = Front::with_decisions(now, terms, house, &mut wishes, |terms, out| {
+            (self.decide)(now, seed, terms, out)
+        });
         let post = &mut self.posts[manager.0];
         post.front = Some(front);
         post.life += 1;
@@ -44,8 +45,8 @@
                 copies: day.copies,
             })
         });
-        let titled = Told::Titled { titles: titles.collect() };
-        let listed = Told::Listed { index: self.index, list };
+        let titled = FrontInput::TitlesListed { titles: titles.collect() };
+        let listed = FrontInput::ServersListed { index: self.index, list };
         self.tell(manager, titled);
         self.tell(manager, listed);
     }
@@ -61,12 +62,12 @@
         let Some(parts) = &mut self.parts else { return };
         let (tells, every) = (parts.look(self.now), parts.every());
         for (ix, part) in tells {
-            self.tell(Manager(ix), Told::Part { part });
+            self.tell(Manager(ix), FrontInput::SlotShareChanged { share: part });
         }
         self.after(every, Event::Parts);
     }
 
-    pub(super) fn tell(&mut self, manager: Manager, told: Told) {
+    pub(super) fn tell(&mut self, manager: Manager, told: FrontInput) {
         let now = self.now;
         let post = &mut self.posts[manager.0];
         if now < post.still_until {
@@ -76,11 +77,11 @@
             return;
         };
         let mut wishes = Wishes::default();
-        told.tell(front, Ms(now), &mut wishes);
-        if !matches!(told, Told::TimeHasCome) && front.next_due().is_some_and(|it| it.0 <= now) {
-            front.time_has_come(Ms(now), &mut wishes);
+        told.apply(front, Ms(now), &mut wishes);
+        if !matches!(told, FrontInput::TimersDue) && front.next_timer().is_some_and(|it| it.0 <= now) {
+            front.run_due_timers(Ms(now), &mut wishes);
         }
-        let due = front.next_due().map_or(f64::INFINITY, |it| it.0);
+        let due = front.next_timer().map_or(f64::INFINITY, |it| it.0);
         if due < post.armed {
             post.armed = due;
             let life = post.life;
@@ -104,7 +105,7 @@
     }
 
     /// A server, or the list, tells a manager something, after its way and `span` more.
-    pub(super) fn notify(&mut self, manager: Manager, span: f64, told: Told) {
+    pub(super) fn notify(&mut self, manager: Manager, span: f64, told: FrontInput) {
         let (way, life) = (self.way(), self.posts[manager.0].life);
         self.after(way + span, Event::Front { manager, life, told: Box::new(told) });
     }
@@ -136,6 +137,6 @@
         for told in waits {
             self.tell(manager, told);
         }
-        self.tell(manager, Told::TimeHasCome);
+        self.tell(manager, FrontInput::TimersDue);
     }
 }
--- a/simulation/src/model/orders.rs
+++ b/simulation/src/model/orders.rs
@@ -5,7 +5,7 @@
 use super::{Model, SILENCE};
 use crate::crowd::playlist;
 use crate::links::{Held, Manager, ServerNo, Taken};
-use ottersail_front::tape::Told;
+use ottersail_front::recording::FrontInput;
 use ottersail_front::SetUpEnd;
 use ottersail_wire::report::Report;
 
@@ -23,7 +23,12 @@
         match order {
             Order::SetUp { vw, no, server, title, package, rung, send_by } => {
                 let life = self.posts[manager.0].life;
-                let end = |end| Told::SetUpEnded { vw: vw.clone(), no, end, report: Report::default() };
+                let end = |end| FrontInput::SetUpEnded {
+                    viewing: vw.clone(),
+                    tune_in: no,
+                    end,
+                    report: Report::default(),
+                };
                 if now > send_by {
                     return self.notify(manager, 0.0, end(SetUpEnd::NotSent));
                 }
@@ -46,7 +51,12 @@
                     Taken::NoPlace => {
                         self.figures.turned_away += 1;
                         let report = Report { delivered: None, ..self.links.report(server) };
-                        let told = Told::SetUpEnded { vw, no, end: SetUpEnd::TurnedAway, report };
+                        let told = FrontInput::SetUpEnded {
+                            viewing: vw,
+                            tune_in: no,
+                            end: SetUpEnd::TurnedAway,
+                            report,
+                        };
                         self.notify(manager, 0.0, told);
                     }
                     Taken::Fell => {
@@ -74,13 +84,13 @@
                     // list.
                     playlist(&self.plan.day, package, 0)
                 });
-                self.notify(manager, 0.0, Told::RungChanged { vw, rung, playlist: list });
+                self.notify(manager, 0.0, FrontInput::RungChanged { viewing: vw, rung, playlist: list });
             }
             Order::LetGo { vw, server } => {
                 let alive = self.links.servers[server.0].alive;
                 if alive {
                     self.links.end(server, &vw);
-                    self.notify(manager, 0.0, Told::LetGo { vw });
+                    self.notify(manager, 0.0, FrontInput::EndConfirmed { viewing: vw });
                 }
             }
             Order::Listen { server } => {
@@ -88,7 +98,7 @@
                     self.links.servers[server.0].listeners.insert(manager);
                 } else {
                     let span = if self.kept[server.0].silent { SILENCE } else { 0.0 };
-                    self.notify(manager, span, Told::ServerLost { server: name(server) });
+                    self.notify(manager, span, FrontInput::ServerLost { server: name(server) });
                 }
             }
             Order::HangUp { server } => _ = self.links.servers[server.0].listeners.remove(&manager),
@@ -96,7 +106,7 @@
             Order::Probe { server } => {
                 if self.links.servers[server.0].alive && !self.kept[server.0].silent {
                     let report = Some(Report { delivered: None, ..self.links.report(server) });
-                    self.notify(manager, 0.0, Told::Probed { server: name(server), report });
+                    self.notify(manager, 0.0, FrontInput::ProbeEnded { server: name(server), report });
                 }
             }
         }
@@ -124,6 +134,6 @@
         let list = playlist(&self.plan.day, held.package, title);
         let report = Report { delivered: None, ..self.links.report(it) };
         let end = SetUpEnd::Playing { playlist: list };
-        self.notify(manager, 0.0, Told::SetUpEnded { vw, no, end, report });
+        self.notify(manager, 0.0, FrontInput::SetUpEnded { viewing: vw, tune_in: no, end, report });
     }
 }
--- a/simulation/src/model/servers.rs
+++ b/simulation/src/model/servers.rs
@@ -5,7 +5,7 @@
 use super::wishes::name;
 use super::{Model, SILENCE};
 use crate::links::{Manager, Server, ServerNo, Warming};
-use ottersail_front::tape::Told;
+use ottersail_front::recording::FrontInput;
 use ottersail_wire::notes::{EndCause, Note};
 use ottersail_wire::report::Report;
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -73,7 +73,7 @@
         let listeners = std::mem::take(&mut self.links.servers[it.0].listeners);
         for manager in listeners {
             let span = if silent { SILENCE } else { 0.0 };
-            self.notify(manager, span, Told::ServerLost { server: name(it) });
+            self.notify(manager, span, FrontInput::ServerLost { server: name(it) });
         }
         self.publish(it, if silent { self.plan.day.silent_notice } else { self.plan.day.notice });
     }
@@ -110,7 +110,7 @@
         let listeners: Vec<Manager> = self.links.servers[it.0].listeners.iter().copied().collect();
         for note in notes {
             for manager in &listeners {
-                self.notify(*manager, 0.0, Told::Noted { server: name(it), note: note.clone() });
+                self.notify(*manager, 0.0, FrontInput::NoteReceived { server: name(it), note: note.clone() });
             }
         }
         let idle = self.links.servers[it.0].held.iter().filter(|held| now - held.1.seen > LEASE);
@@ -120,7 +120,7 @@
         for viewing in idle {
             if let Some(held) = self.links.end(it, &viewing) {
                 let note = Note::Ended { viewing, cause: EndCause::Left };
-                self.notify(held.manager, 0.0, Told::Noted { server: name(it), note });
+                self.notify(held.manager, 0.0, FrontInput::NoteReceived { server: name(it), note });
             }
         }
         let born = self.kept[it.0].born;
--- a/simulation/src/model/wishes.rs
+++ b/simulation/src/model/wishes.rs
@@ -2,7 +2,7 @@
 
 use crate::links::ServerNo;
 use ottersail_front::ids::{Rung, ServerId, ViewingId};
-use ottersail_front::{AskId, Orders, Reply, SetUp};
+use ottersail_front::{Effects, Reply, RequestId, SetUp};
 
 /// What a front wants done, on its way to a server.
 pub enum Order {
@@ -43,7 +43,7 @@
 #[derive(Default)]
 pub struct Wishes {
     pub orders: Vec<Order>,
-    pub replies: Vec<(AskId, Reply)>,
+    pub replies: Vec<(RequestId, Reply)>,
 }
 
 /// The model's servers are named by their number.
@@ -55,12 +55,12 @@
     format!("box-{}", it.0)
 }
 
-impl Orders for Wishes {
+impl Effects for Wishes {
     fn set_up(&mut self, it: &SetUp) {
         let title = it.title.to_string();
         self.orders.push(Order::SetUp {
-            vw: it.vw.to_string(),
-            no: it.no,
+            vw: it.viewing.to_string(),
+            no: it.tune_in,
             server: server(&it.server),
             title: title.rsplit('-').next().and_then(|it| it.parse().ok()).unwrap_or(0),
             package: it.package.clone(),
@@ -68,22 +68,22 @@
             send_by: it.send_by.0,
         });
     }
-    fn call_off(&mut self, vw: &ViewingId, no: usize, at: &ServerId, _: &str) {
+    fn cancel_set_up(&mut self, vw: &ViewingId, no: usize, at: &ServerId, _: &str) {
         self.orders.push(Order::CallOff { vw: vw.to_string(), no, server: server(at) });
     }
     fn change_rung(&mut self, vw: &ViewingId, at: &ServerId, _: &str, rung: Rung) {
         self.orders.push(Order::ChangeRung { vw: vw.to_string(), server: server(at), rung: rung.0 });
     }
-    fn let_go(&mut self, vw: &ViewingId, at: &ServerId, _: &str) {
+    fn end_viewing(&mut self, vw: &ViewingId, at: &ServerId, _: &str) {
         self.orders.push(Order::LetGo { vw: vw.to_string(), server: server(at) });
     }
-    fn reply(&mut self, ask: AskId, reply: Reply) {
+    fn reply(&mut self, ask: RequestId, reply: Reply) {
         self.replies.push((ask, reply));
     }
-    fn listen(&mut self, at: &ServerId, _: &str) {
+    fn open_notes(&mut self, at: &ServerId, _: &str) {
         self.orders.push(Order::Listen { server: server(at) });
     }
-    fn hang_up(&mut self, at: &ServerId) {
+    fn close_notes(&mut self, at: &ServerId) {
         self.orders.push(Order::HangUp { server: server(at) });
     }
     fn probe(&mut self, at: &ServerId, _: &str) {
--- a/simulation/src/parts.rs
+++ b/simulation/src/parts.rs
@@ -2,7 +2,7 @@
 //! others tell seconds old and slots used only a window after they were taken up; or equal parts for ever.
 //! The council itself is not modelled: a change takes until the next look.
 
-use ottersail_front::{Ms, Part};
+use ottersail_front::{Ms, SlotShare};
 use ottersail_leases::{Guards, MemberId, Needs, Rider, Terms};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -25,7 +25,7 @@
     arrivals: u32,
     /// Since when each slot has been held.
     held: BTreeMap<u64, f64>,
-    told: Option<Part>,
+    told: Option<SlotShare>,
 }
 
 #[derive(Debug)]
@@ -93,7 +93,7 @@
     }
 
     /// One look of all members: what each whose part is another is to be told.
-    pub fn look(&mut self, now: f64) -> Vec<(usize, Part)> {
+    pub fn look(&mut self, now: f64) -> Vec<(usize, SlotShare)> {
         if self.by == By::Need {
             self.go_by_need(now);
         }
@@ -103,7 +103,12 @@
             let ripe = it.held.iter().filter(|held| now >= held.1 + self.window);
             let leased = ripe.map(|held| *held.0).collect();
             // Leases are renewed for ever here.
-            let next = Part { kept: slots + ix as u64, leased, of: slots as f64 + all, until: f64::INFINITY };
+            let next = SlotShare {
+                own_slot: slots + ix as u64,
+                leased_slots: leased,
+                total_slots: slots as f64 + all,
+                lease_end_ms: f64::INFINITY,
+            };
             if it.told.as_ref() != Some(&next) {
                 it.told = Some(next.clone());
                 tells.push((ix, next));
@@ -171,10 +176,10 @@
         let mut parts = after(By::Need, 600, 10);
         assert!(parts.members[0].held.len() > 12, "{:?}", parts.members[0].held);
         let told = parts.members[0].told.clone().unwrap();
-        assert_eq!((told.kept, told.of), (40, 50.0));
+        assert_eq!((told.own_slot, told.total_slots), (40, 50.0));
         let now = 600.0 * LOOK;
         parts.members[0].held.insert(99, now);
-        assert!(!parts.look(now + 1_999.0).iter().any(|it| it.1.leased.contains(&99)));
-        assert!(parts.look(now + 2_001.0).iter().any(|it| it.0 == 0 && it.1.leased.contains(&99)));
+        assert!(!parts.look(now + 1_999.0).iter().any(|it| it.1.leased_slots.contains(&99)));
+        assert!(parts.look(now + 2_001.0).iter().any(|it| it.0 == 0 && it.1.leased_slots.contains(&99)));
     }
 }
--- a/src/census.rs
+++ b/src/census.rs
@@ -1,7 +1,7 @@
 //! Counts that are kept as things change, so that a decision need not go through all that is held. No
 //! decision lies in here; bounds are given.
 
-use crate::ids::{PackageIx, Rung, ViewingId};
+use crate::ids::{PackageIndex, Rung, ViewingId};
 use crate::time::Ms;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -20,7 +20,7 @@
 /// A viewing's part in the split of a server; those alike in all of it are alike to every decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Asker {
-    pub package: PackageIx,
+    pub package: PackageIndex,
     pub best: Rung,
     pub rung: Rung,
     pub over_share: bool,
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -29,11 +29,11 @@
     )*};
 }
 
-name_ids!(ViewingId, ServerId, TitleId, Zone, Kind);
-number_ids!(PackageIx(usize), TenantIx(usize), Rung(usize), ManagerIx(u64), Cell(u64), Rack(u64));
-number_ids!(TuneInNo(usize), BellTag(u64));
+name_ids!(ViewingId, ServerId, TitleId, Zone, HardwareKind);
+number_ids!(PackageIndex(usize), TenantIndex(usize), Rung(usize), ManagerIndex(u64), Cell(u64), Rack(u64));
+number_ids!(TuneInIndex(usize), TimerTag(u64));
 
 /// A number that tells names apart; equal names give equal numbers everywhere.
-pub fn name_sum(name: &str) -> u64 {
+pub fn name_hash(name: &str) -> u64 {
     name.bytes().fold(7, |sum: u64, byte| (sum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)) >> 40
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,11 +2,11 @@
 //!
 //! The decisions are all in [`placement`]; the other files hold the shapes that it works on.
 
-pub mod answers;
+pub mod actions;
 pub mod census;
 mod chance;
+pub mod config;
 pub mod ids;
 pub mod placement;
 pub mod state;
-pub mod terms;
 pub mod time;
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -21,25 +21,27 @@
 
 pub use self::constants::LIST_LAG;
 use self::{constants::*, links::Pipe, pick::prefer};
-use crate::answers::Answers;
+use crate::actions::PlacementActions;
 use crate::census::{added, moved, put, Asker, Counted, Own, Past, RecentMean};
 use crate::chance::{along, Chance};
+use crate::config::{DedupScope, PlacementConfig, RequestSemantics};
 use crate::ids::{
-    name_sum, BellTag, Cell, PackageIx, Rack, Rung, ServerId, TenantIx, TitleId, TuneInNo, ViewingId,
+    name_hash, Cell, PackageIndex, Rack, Rung, ServerId, TenantIndex, TimerTag, TitleId, TuneInIndex,
+    ViewingId,
 };
 use crate::state::{
-    Availability, Entry, ListMode, Load, Outcome, Phase, Seen, Server, Topic, TuneIn, Uplink, Viewing, Wish,
+    Availability, ListMode, Load, Outcome, Phase, Seen, Server, ServerEntry, Topic, TuneIn, Uplink, Viewing,
+    ViewingRequest,
 };
-use crate::terms::{Group, Repeat, Terms};
 use crate::time::{DecayingSum, Ms};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-type Out<'a> = &'a mut dyn Answers;
+type Out<'a> = &'a mut dyn PlacementActions;
 
 #[derive(Default)]
 pub struct Placement {
-    terms: Terms,
+    terms: PlacementConfig,
     now: Ms,
     chance: Chance,
     /// This manager's slots, and of how many: its part of what all managers share.
@@ -68,7 +70,7 @@
     taken: VecDeque<Ms>,
     further: VecDeque<Ms>,
     /// Viewings held or set up, by title and package.
-    seated: BTreeMap<(TitleId, PackageIx), usize>,
+    seated: BTreeMap<(TitleId, PackageIndex), usize>,
     /// What was lately noted of links and of uplinks, of servers where a viewing is held.
     links: RecentMean<ServerId>,
     shared: RecentMean<Rack>,
@@ -81,17 +83,17 @@
 }
 
 impl Placement {
-    pub fn born(now: Ms, seed: u64, terms: Terms, out: Out) -> Placement {
+    pub fn new(now: Ms, seed: u64, terms: PlacementConfig, out: Out) -> Placement {
         if terms.must_subscribe {
             out.subscribe();
         }
         Placement {
             now,
             chance: Chance(seed | 1),
-            slots: (vec![terms.me.0], terms.managers.max(1.0)),
+            slots: (vec![terms.manager.0], terms.manager_count.max(1.0)),
             earlier: vec![(now + terms.cold.send_window() * LIST_LAG, (Vec::new(), 1.0))],
-            unsure_until: now + terms.cold.lasts.min(terms.cold.fall_window * LIST_LAG),
-            whole_since: now + terms.reports_every,
+            unsure_until: now + terms.cold.warm_up.min(terms.cold.fall_window * LIST_LAG),
+            whole_since: now + terms.report_interval,
             arrivals: vec![DecayingSum::default(); terms.tenants.len()],
             usual_link: FILL,
             usual_uplink: FILL,
@@ -101,7 +103,7 @@
         }
     }
 
-    pub fn members(&mut self, now: Ms, mode: ListMode, entries: &[Entry], out: Out) {
+    pub fn update_servers(&mut self, now: Ms, mode: ListMode, entries: &[ServerEntry], out: Out) {
         self.now = now;
         match mode {
             ListMode::Failed if self.terms.must_subscribe => out.subscribe(),
@@ -112,16 +114,16 @@
         }
         entries.iter().for_each(|it| self.list(it));
         let cold = &self.terms.cold;
-        self.forget_gone(cold.lasts.max(cold.fall_window).max(self.terms.seen_after) * FORGOTTEN);
+        self.forget_gone(cold.warm_up.max(cold.fall_window).max(self.terms.report_delay) * FORGOTTEN);
         self.count_places();
         self.settle(out);
     }
 
-    pub fn preexisting(&mut self, now: Ms, wish: Wish, server: ServerId, out: Out) {
+    pub fn adopt_viewing(&mut self, now: Ms, wish: ViewingRequest, server: ServerId, out: Out) {
         self.now = now;
         // A manager that takes viewings over did not restart: what it was told of starts is whole.
         (self.unsure_until, self.whole_since, self.past.apart) = (now, now, true);
-        let vw = wish.vw.clone();
+        let vw = wish.viewing.clone();
         let tune_in = TuneIn { server, sent: now, outcome: None };
         self.take(wish, Phase::Playing, vec![tune_in], false);
         self.past.apart = false;
@@ -129,25 +131,25 @@
         self.settle(out);
     }
 
-    pub fn incoming(&mut self, now: Ms, wish: Wish, out: Out) {
+    pub fn request_viewing(&mut self, now: Ms, wish: ViewingRequest, out: Out) {
         self.now = now;
-        let span = self.terms.budget.map_or(Ms(0.0), |it| it.span + self.terms.tick);
+        let span = self.terms.budget.map_or(Ms(0.0), |it| it.window + self.terms.tick);
         for times in [&mut self.taken, &mut self.further] {
             times.drain(..times.partition_point(|at| now - *at > span));
         }
         self.taken.push_back(now);
-        out.schedule(BellTag(1), wish.due);
+        out.schedule(TimerTag(1), wish.deadline);
         let over_share = wish.tenant.is_some_and(|tenant| self.over_share(tenant));
         self.take(wish, Phase::Waiting, Vec::new(), over_share);
         self.settle(out);
     }
 
-    pub fn bell(&mut self, now: Ms, _tag: BellTag, out: Out) {
+    pub fn timer_fired(&mut self, now: Ms, _tag: TimerTag, out: Out) {
         self.now = now;
         self.settle(out);
     }
 
-    pub fn first(&mut self, now: Ms, vw: &ViewingId, server: &ServerId, out: Out) {
+    pub fn viewing_started(&mut self, now: Ms, vw: &ViewingId, server: &ServerId, out: Out) {
         self.now = now;
         self.amend(vw, |it| {
             it.started = now;
@@ -158,11 +160,11 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub fn answer(
+    pub fn tune_in_ended(
         &mut self,
         now: Ms,
         vw: &ViewingId,
-        no: TuneInNo,
+        no: TuneInIndex,
         server: &ServerId,
         outcome: Outcome,
         last: bool,
@@ -180,15 +182,23 @@
             it.phase = if last || it.phase == Phase::Over { Phase::Over } else { Phase::Waiting };
         });
         self.past.apart = false;
-        self.note_load(server, load, now - self.terms.seen_after);
+        self.note_load(server, load, now - self.terms.report_delay);
         self.settle(out);
     }
 
-    pub fn change(&mut self, now: Ms, vw: &ViewingId, topic: Topic, value: f64, server: &ServerId, out: Out) {
+    pub fn note_received(
+        &mut self,
+        now: Ms,
+        vw: &ViewingId,
+        topic: Topic,
+        value: f64,
+        server: &ServerId,
+        out: Out,
+    ) {
         self.now = now;
         // At set-up a note tells of now, else of some time ago.
         let fresh = self.viewings.get(vw).is_none_or(|it| it.phase != Phase::Playing || it.started == now);
-        let at = if fresh { now } else { now - self.terms.seen_after };
+        let at = if fresh { now } else { now - self.terms.report_delay };
         match topic {
             Topic::RungInForce => self.amend(vw, |it| it.rung = Rung(value.max(0.0) as usize)),
             Topic::ShareDelivered => self.note_delivered(server, value, at),
@@ -199,25 +209,25 @@
             Topic::UplinkAsked => self.note_uplink(server, value, at),
         }
         // The share delivered is smoothed, and shows a change that much later.
-        let smoothing = if topic == Topic::ShareDelivered { self.terms.seen_after } else { Ms(0.0) };
+        let smoothing = if topic == Topic::ShareDelivered { self.terms.report_delay } else { Ms(0.0) };
         if topic != Topic::RungInForce {
             self.draw_lot(server, at, smoothing);
         }
         self.settle(out);
     }
 
-    pub fn dropped(&mut self, now: Ms, vw: &ViewingId, out: Out) {
+    pub fn viewer_left(&mut self, now: Ms, vw: &ViewingId, out: Out) {
         self.now = now;
         self.amend(vw, |it| it.phase = Phase::Over);
         self.settle(out);
     }
 
-    pub fn echo(&mut self, now: Ms, server: &ServerId, outcome: Outcome, load: Load, out: Out) {
+    pub fn probe_ended(&mut self, now: Ms, server: &ServerId, outcome: Outcome, load: Load, out: Out) {
         self.now = now;
         self.servers.get_mut(server).into_iter().for_each(|it| it.probe_out = false);
         // A server that loses the answers of tune-ins may still answer probes: only a failed one tells.
         if outcome == Outcome::Served {
-            let at = now - self.terms.seen_after * REPORT_AGE;
+            let at = now - self.terms.report_delay * REPORT_AGE;
             let load = self.not_short(server, load);
             let asked = load.link_uncapped.or(load.link);
             asked.into_iter().for_each(|x| self.note_on_link(server, x, at));
--- a/src/placement/ledger.rs
+++ b/src/placement/ledger.rs
@@ -2,23 +2,31 @@
 
 use super::Placement;
 use crate::census::{added, Asker};
-use crate::ids::{Cell, PackageIx, Rack, Rung, ServerId, TenantIx, ViewingId};
-use crate::state::{Availability, Belief, Entry, Phase, Server, TuneIn, Uplink, Viewing, Wish};
-use crate::terms::Package;
+use crate::config::Package;
+use crate::ids::{Cell, PackageIndex, Rack, Rung, ServerId, TenantIndex, ViewingId};
+use crate::state::{
+    Availability, Belief, Phase, Server, ServerEntry, TuneIn, Uplink, Viewing, ViewingRequest,
+};
 use crate::time::Ms;
 
 impl Placement {
-    pub fn package_named(&self, name: &str) -> Option<PackageIx> {
-        self.terms.packages.iter().position(|package| package.name == name).map(PackageIx)
+    pub fn package_named(&self, name: &str) -> Option<PackageIndex> {
+        self.terms.packages.iter().position(|package| package.name == name).map(PackageIndex)
     }
 
-    pub fn tenant_named(&self, name: &str) -> Option<TenantIx> {
-        self.terms.tenants.iter().position(|tenant| tenant.name == name).map(TenantIx)
+    pub fn tenant_named(&self, name: &str) -> Option<TenantIndex> {
+        self.terms.tenants.iter().position(|tenant| tenant.name == name).map(TenantIndex)
     }
 
-    pub(super) fn take(&mut self, wish: Wish, phase: Phase, tune_ins: Vec<TuneIn>, over_share: bool) {
+    pub(super) fn take(
+        &mut self,
+        wish: ViewingRequest,
+        phase: Phase,
+        tune_ins: Vec<TuneIn>,
+        over_share: bool,
+    ) {
         let rung = self.terms.packages[wish.package.0].floor;
-        let (vw, taken) = (wish.vw.clone(), self.now);
+        let (vw, taken) = (wish.viewing.clone(), self.now);
         let viewing = Viewing::taken(wish, taken, rung, over_share);
         self.viewings.insert(vw.clone(), viewing);
         self.amend(&vw, |it| (it.phase, it.tune_ins) = (phase, tune_ins));
@@ -66,9 +74,9 @@
         };
         let (id, was_empty) = (server.entry.server.clone(), server.census.is_empty());
         if sign > 0.0 {
-            server.census.add(asker, &viewing.wish.vw, viewing.phase == Phase::Playing);
+            server.census.add(asker, &viewing.wish.viewing, viewing.phase == Phase::Playing);
         } else {
-            server.census.remove(asker, &viewing.wish.vw);
+            server.census.remove(asker, &viewing.wish.viewing);
         }
         server.own = added(server.own, (rate, size));
         server.past.change(now, old, (rate, size));
@@ -129,7 +137,7 @@
         self.terms.ladder_kb.get(rung.0).copied().unwrap_or(0.0)
     }
 
-    pub(super) fn rate(&self, package: PackageIx, rung: Rung) -> f64 {
+    pub(super) fn rate(&self, package: PackageIndex, rung: Rung) -> f64 {
         self.plain_rate(rung) * self.size(package)
     }
 
@@ -148,7 +156,7 @@
         let over = |it: &&Server| {
             it.off_since.is_some_and(|at| now - at > long) && it.census.is_empty() && !it.probe_out
         };
-        let over: Vec<Entry> = self.servers.values().filter(over).map(|it| it.entry.clone()).collect();
+        let over: Vec<ServerEntry> = self.servers.values().filter(over).map(|it| it.entry.clone()).collect();
         for entry in over {
             let (cell, rack) = (self.cell(entry.cell.0), self.rack_of(entry.cell));
             self.cells.entry(cell).or_default().remove(&entry.server);
@@ -175,7 +183,7 @@
 
     pub(super) fn count_places(&mut self) {
         let up = self.servers.values().filter(|it| it.entry.availability == Availability::Up);
-        let places = up.filter_map(|it| self.terms.places.get(&it.entry.kind));
+        let places = up.filter_map(|it| self.terms.places_by_kind.get(&it.entry.kind));
         let (sum, count) = places.fold((0.0, 0.0), |(sum, count), it| (sum + it, count + 1.0));
         self.mean_places = if sum > 0.0 { sum / count } else { 1.0 };
     }
@@ -185,7 +193,7 @@
     }
 
     /// Which servers stand in a cell and in a rack.
-    pub(super) fn register(&mut self, entry: &Entry, before: &Entry) {
+    pub(super) fn register(&mut self, entry: &ServerEntry, before: &ServerEntry) {
         let (cell, rack) = (self.cell(before.cell.0), self.rack_of(before.cell));
         self.cells.entry(cell).or_default().remove(&entry.server);
         let uplink = self.uplinks.entry(rack).or_default();
--- a/src/placement/limits.rs
+++ b/src/placement/limits.rs
@@ -5,7 +5,7 @@
 impl Placement {
     /// From now on this manager's part is these slots, of so many that all managers hold together. The others
     /// may be told later, and cold servers get no more than either part allows until then.
-    pub fn part(&mut self, now: Ms, slots: &[u64], of: f64) {
+    pub fn set_slots(&mut self, now: Ms, slots: &[u64], of: f64) {
         let told = (slots.to_vec(), of.max(1.0));
         if told != self.slots {
             let before = std::mem::replace(&mut self.slots, told);
@@ -21,8 +21,8 @@
 
     /// True for an arrival past its tenant's share: this manager's part of it, with a root margin,
     /// since tenants lean. Only what is within is counted, so that a crowd still gets the share itself.
-    pub(super) fn over_share(&mut self, tenant: TenantIx) -> bool {
-        let fade = self.terms.cold.lasts.max(Ms(1e3));
+    pub(super) fn over_share(&mut self, tenant: TenantIndex) -> bool {
+        let fade = self.terms.cold.warm_up.max(Ms(1e3));
         let allowed = self.terms.tenants[tenant.0].allowance_per_s * (fade / Ms(1e3));
         let part = allowed * self.share();
         let over = self.arrivals[tenant.0].read(self.now, fade) >= part + SHARE_PHI * part.sqrt();
@@ -35,7 +35,7 @@
     /// Rules 2 and 6, and the limit on tune-ins.
     pub(super) fn may_tune_in(&self, viewing: &Viewing) -> bool {
         let count = viewing.tune_ins.len();
-        let safe = self.package(viewing).repeat != Repeat::AtMostOnce || viewing.never_ran();
+        let safe = self.package(viewing).semantics != RequestSemantics::AtMostOnce || viewing.never_ran();
         count == 0 || (safe && self.budget_left() && count < self.terms.max_tune_ins)
     }
 
@@ -45,9 +45,9 @@
             let recent = |times: &VecDeque<Ms>, span: Ms| {
                 (times.len() - times.partition_point(|at| self.now - *at >= span)) as f64
             };
-            let (tick, span) = (self.terms.tick, budget.span);
+            let (tick, span) = (self.terms.tick, budget.window);
             let taken = recent(&self.taken, span - tick);
-            recent(&self.further, span + tick) + 1.0 <= budget.free + budget.ratio * taken
+            recent(&self.further, span + tick) + 1.0 <= budget.free_resends + budget.ratio * taken
         })
     }
 
@@ -55,19 +55,21 @@
     pub(super) fn seat_free(&self, viewing: &Viewing) -> bool {
         let (wish, package) = (&viewing.wish, self.package(viewing));
         let taken = self.seated.get(&(wish.title.clone(), wish.package)).copied().unwrap_or(0);
-        wish.best >= package.floor && (package.seats == 0 || taken < package.seats)
+        wish.max_rung >= package.floor && (package.seats == 0 || taken < package.seats)
     }
 
     /// Rule 2 for a deduplicated package: what may have run goes on only in its group and its window.
     pub(super) fn same_group(&self, viewing: &Viewing, server: &Server) -> bool {
-        let Repeat::Deduplicated { group, window } = self.package(viewing).repeat else { return true };
+        let RequestSemantics::Deduplicated { group, window } = self.package(viewing).semantics else {
+            return true;
+        };
         viewing.tune_ins.iter().filter(|it| it.may_have_run()).all(|it| {
             let earlier = self.servers.get(&it.server).map(|it| &it.entry);
             self.now - it.sent < window
                 && match group {
-                    Group::All => true,
-                    Group::SameZone => earlier.is_some_and(|it| it.zone == server.entry.zone),
-                    Group::SameCell => earlier.is_some_and(|it| it.cell == server.entry.cell),
+                    DedupScope::All => true,
+                    DedupScope::SameZone => earlier.is_some_and(|it| it.zone == server.entry.zone),
+                    DedupScope::SameCell => earlier.is_some_and(|it| it.cell == server.entry.cell),
                 }
         })
     }
--- a/src/placement/links.rs
+++ b/src/placement/links.rs
@@ -31,8 +31,9 @@
 
 impl Placement {
     pub(super) fn link_kb(&self, server: &Server) -> f64 {
-        let places = |kind| self.terms.places.get(kind).copied().unwrap_or(1.0);
-        let size = if self.terms.weights_told { 1.0 } else { places(&server.entry.kind) / self.mean_places };
+        let places = |kind| self.terms.places_by_kind.get(kind).copied().unwrap_or(1.0);
+        let size =
+            if self.terms.weights_listed { 1.0 } else { places(&server.entry.kind) / self.mean_places };
         server.entry.weight * size * self.terms.link_unit_kb
     }
 
@@ -64,7 +65,7 @@
 
     /// What was noted after this counts as known.
     pub(super) fn fresh_from(&self) -> Ms {
-        self.now - (self.note_gap() * STALE + self.terms.seen_after)
+        self.now - (self.note_gap() * STALE + self.terms.report_delay)
     }
 
     /// What was seen, carried on to now: with hundreds of managers nearly all that happens since is others',
@@ -91,7 +92,7 @@
     }
 
     pub(super) fn usually(&self, usual: f64, told: f64, own: Own) -> Seen {
-        let asked = usual * (1.0 - 1.0 / self.terms.managers.max(1.0)) + own.0 / told.max(1.0);
+        let asked = usual * (1.0 - 1.0 / self.terms.manager_count.max(1.0)) + own.0 / told.max(1.0);
         Seen { asked, own, at: self.now }
     }
 
--- a/src/placement/notes.rs
+++ b/src/placement/notes.rs
@@ -6,9 +6,9 @@
     /// Time between two notes on a server, where any come; else between two probes.
     pub(super) fn note_gap(&self) -> Ms {
         if self.terms.reports_on_probe {
-            return (self.terms.seen_after * PROBE_GAP).max(self.join_target());
+            return (self.terms.report_delay * PROBE_GAP).max(self.join_target());
         }
-        self.terms.reports_every.max(self.terms.seen_after).max(self.beat())
+        self.terms.report_interval.max(self.terms.report_delay).max(self.beat())
     }
 
     pub(super) fn join_target(&self) -> Ms {
@@ -57,7 +57,7 @@
 
     /// Reports in answers are rougher than notes and stand in only where those are old.
     pub(super) fn note_load(&mut self, server: &ServerId, load: Load, at: Ms) {
-        let old = |seen: Option<Seen>| seen.is_none_or(|it| self.now - it.at > self.terms.reports_every);
+        let old = |seen: Option<Seen>| seen.is_none_or(|it| self.now - it.at > self.terms.report_interval);
         let Some(it) = self.servers.get(server) else { return };
         let uplink_old = old(self.uplink_of(it).seen);
         if let Some(asked) = load.link_uncapped.or(load.link).filter(|_| old(it.seen)) {
--- a/src/placement/pick.rs
+++ b/src/placement/pick.rs
@@ -10,8 +10,8 @@
     }
 
     /// The servers that hold the title and are up.
-    pub(super) fn holders<'a>(&'a self, wish: &'a Wish) -> impl Iterator<Item = &'a Server> + 'a {
-        let cells = (0..wish.copies.min(self.terms.cells.max(1))).map(|j| self.cell(wish.base + j));
+    pub(super) fn holders<'a>(&'a self, wish: &'a ViewingRequest) -> impl Iterator<Item = &'a Server> + 'a {
+        let cells = (0..wish.cell_count.min(self.terms.cells.max(1))).map(|j| self.cell(wish.first_cell + j));
         let all = cells.flat_map(|cell| self.cells.get(&cell)).flatten();
         all.map(|id| &self.servers[id]).filter(|it| it.entry.availability == Availability::Up)
     }
@@ -36,11 +36,12 @@
     /// Viewers of a live title at one server share a stream, so each server gathers one of the live titles
     /// that this manager holds; all managers see the same names, and so scatter them less without a word.
     pub(super) fn gathers(&self, viewing: &Viewing, server: &ServerId) -> bool {
-        let live = |package: PackageIx| self.terms.join < 1.0 && self.terms.packages[package.0].live;
+        let live =
+            |package: PackageIndex| self.terms.live_join_share < 1.0 && self.terms.packages[package.0].live;
         if !live(viewing.wish.package) {
             return true;
         }
-        let rank = |title: &TitleId| name_sum(&format!("{title}{server}"));
+        let rank = |title: &TitleId| name_hash(&format!("{title}{server}"));
         let mine = rank(&viewing.wish.title);
         self.seated.keys().filter(|it| live(it.1)).all(|it| rank(&it.0) <= mine)
     }
@@ -68,7 +69,7 @@
 
     /// Part of a holder's link or uplink that is asked, whichever is fuller.
     pub(super) fn used(&self, server: &Server) -> f64 {
-        let crossing = if server.entry.zone == self.terms.zone { 0.0 } else { self.terms.cross_price };
+        let crossing = if server.entry.zone == self.terms.zone { 0.0 } else { self.terms.cross_zone_price };
         self.link(server).used().max(self.uplink(server).used()) + crossing * CROSS_HANDICAP
     }
 
--- a/src/placement/probes.rs
+++ b/src/placement/probes.rs
@@ -10,7 +10,7 @@
         let Some(it) = self.servers.get_mut(id).filter(may) else { return false };
         if !it.probe_out && now - it.probed_at >= gap {
             (it.probe_out, it.probed_at) = (true, now);
-            out.inspect(id);
+            out.probe(id);
         }
         it.probe_out
     }
@@ -19,6 +19,6 @@
     /// on a report before it shows what the others made of theirs.
     pub(super) fn seen_together(&self, server: &Server) -> f64 {
         let most = self.others(&self.link(server)).max(self.others(&self.uplink(server)));
-        1.0 + most * (self.terms.seen_after * REPORT_AGE / self.note_gap())
+        1.0 + most * (self.terms.report_delay * REPORT_AGE / self.note_gap())
     }
 }
--- a/src/placement/rules.rs
+++ b/src/placement/rules.rs
@@ -19,7 +19,7 @@
         let vw = self.waiting_now().filter(|vw| {
             let it = &self.viewings[vw];
             let late = self.now - it.taken >= self.package(it).join_target;
-            let over = self.now >= it.wish.due || !self.may_tune_in(it);
+            let over = self.now >= it.wish.deadline || !self.may_tune_in(it);
             over || (self.eligible(it).is_empty() && (late || !self.may_hope(it)))
         });
         vw.is_some_and(|vw| self.finish(&vw, out))
@@ -49,7 +49,7 @@
         if viewing.rung != rung {
             out.step_to(&vw, rung);
         }
-        out.relay(&vw, &server, self.time_out(&viewing, others));
+        out.tune_in(&vw, &server, self.time_out(&viewing, others));
         let now = self.now;
         if !viewing.tune_ins.is_empty() {
             self.further.push_back(now);
@@ -71,17 +71,17 @@
     fn inquire(&mut self, viewing: &Viewing, out: Out) -> bool {
         let wait = self.now + self.package(viewing).join_target * PROBE_WAIT;
         let known = viewing.picks.iter().filter(|id| !self.probe(id, self.note_gap(), out)).count();
-        if known == viewing.picks.len() || wait >= viewing.wish.due {
+        if known == viewing.picks.len() || wait >= viewing.wish.deadline {
             return false;
         }
-        self.amend(&viewing.wish.vw, |it| (it.look_at, it.picks) = (wait, viewing.picks.clone()));
+        self.amend(&viewing.wish.viewing, |it| (it.look_at, it.picks) = (wait, viewing.picks.clone()));
         true
     }
 
     /// All holders are shunned, paced or without a seat: look again after a beat.
     pub(super) fn hold(&mut self, _out: Out) -> bool {
         let (vw, next) = (self.waiting_now(), self.now + self.beat());
-        vw.map(|vw| self.amend(&vw, |it| it.look_at = next.min(it.wish.due))).is_some()
+        vw.map(|vw| self.amend(&vw, |it| it.look_at = next.min(it.wish.deadline))).is_some()
     }
 
     fn keep_awake(&mut self, out: Out) -> bool {
@@ -89,16 +89,19 @@
             return false;
         }
         let at = self.now + self.beat();
-        out.schedule(BellTag(0), *self.bell_at.insert(at));
+        out.schedule(TimerTag(0), *self.bell_at.insert(at));
         true
     }
 
     /// The final answer: blocked where that is harmless, else aborted.
     pub(super) fn finish(&mut self, vw: &ViewingId, out: Out) -> bool {
         let viewing = &self.viewings[vw];
-        let repeat = self.package(viewing).repeat;
-        let always = matches!(repeat, Repeat::Idempotent | Repeat::Deduplicated { group: Group::All, .. });
-        if (always || viewing.never_ran()) && self.now < viewing.wish.due {
+        let repeat = self.package(viewing).semantics;
+        let always = matches!(
+            repeat,
+            RequestSemantics::Idempotent | RequestSemantics::Deduplicated { group: DedupScope::All, .. }
+        );
+        if (always || viewing.never_ran()) && self.now < viewing.wish.deadline {
             // By the next note there may be room again.
             out.shed(vw, self.terms.max_stay_away.map(|most| most.min(self.note_gap())));
         } else {
@@ -109,9 +112,9 @@
     }
 
     pub(super) fn time_out(&self, viewing: &Viewing, others: bool) -> Ms {
-        let left = viewing.wish.due - self.now;
+        let left = viewing.wish.deadline - self.now;
         let again = viewing.tune_ins.len() + 1 < self.terms.max_tune_ins && others && self.budget_left();
-        if !again || self.package(viewing).repeat == Repeat::AtMostOnce {
+        if !again || self.package(viewing).semantics == RequestSemantics::AtMostOnce {
             return left;
         }
         (self.package(viewing).join_target * FIRST_WAIT).min(left)
--- a/src/placement/split.rs
+++ b/src/placement/split.rs
@@ -5,21 +5,21 @@
 impl Placement {
     /// What a viewing asks over the ladder's rate. A live one is taken as a further one on its stream: the
     /// stream itself, whoever began it, shows in what others ask.
-    pub(super) fn size(&self, package: PackageIx) -> f64 {
+    pub(super) fn size(&self, package: PackageIndex) -> f64 {
         let package = &self.terms.packages[package.0];
-        package.scale * if package.live { self.terms.join } else { 1.0 }
+        package.rate_scale * if package.live { self.terms.live_join_share } else { 1.0 }
     }
 
     /// The highest rung that a viewing is given.
     pub(super) fn best(&self, viewing: &Viewing) -> Rung {
         let package = self.package(viewing);
-        viewing.wish.best.min(package.top).max(package.floor)
+        viewing.wish.max_rung.min(package.top).max(package.floor)
     }
 
     /// Worth of the step between a rung and the one under it, for each kB a second that it takes; where worth
     /// is not told, as if a rung earned the same for any rate.
-    fn earns(&self, package: PackageIx, upper: usize) -> f64 {
-        let worth = |rung: usize| self.terms.worth.get(rung).copied();
+    fn earns(&self, package: PackageIndex, upper: usize) -> f64 {
+        let worth = |rung: usize| self.terms.rung_values.get(rung).copied();
         let value = self.terms.packages[package.0].value;
         let (high, low) =
             (self.rate(package, Rung(upper)), self.rate(package, Rung(upper.saturating_sub(1))));
@@ -31,7 +31,7 @@
 
     /// Summed over rungs: rate x (count + phi x root of count).
     pub(super) fn bound(&self, askers: &[Counted]) -> f64 {
-        let mut counts: BTreeMap<(PackageIx, Rung), f64> = BTreeMap::new();
+        let mut counts: BTreeMap<(PackageIndex, Rung), f64> = BTreeMap::new();
         for (asker, n) in askers {
             *counts.entry((asker.package, asker.rung)).or_default() += n;
         }
--- a/src/placement/steps.rs
+++ b/src/placement/steps.rs
@@ -16,7 +16,7 @@
         let (before, next_probe) = (&self.servers[&id], self.servers[&id].next_probe);
         if asks && next_probe <= now {
             // Those who are handed viewings at the same moment must not ask, and act, in step.
-            let first = next_probe == Ms::LONG_AGO;
+            let first = next_probe == Ms::DISTANT_PAST;
             let wanted = !first && before.census.playing().any(|it| it.0.rung < it.0.best);
             let wait = silence * (self.chance.part() + if first { 0.0 } else { 0.5 });
             self.servers.get_mut(&id).into_iter().for_each(|it| it.next_probe = now + wait);
@@ -62,15 +62,16 @@
             None
         };
         let raised = changed.is_some() && !broken;
-        let again =
-            self.terms.seen_after * PROBE_AGAIN * if asks && raised { self.chance.part() + 0.5 } else { 0.0 };
+        let again = self.terms.report_delay
+            * PROBE_AGAIN
+            * if asks && raised { self.chance.part() + 0.5 } else { 0.0 };
         if let Some(it) = self.servers.get_mut(&id) {
             it.unsettled_at = if broken { now } else { it.unsettled_at };
             it.next_probe = if raised { it.next_probe.min(now + again) } else { it.next_probe };
         }
         let at = match changed {
             Some(_) if broken => next,
-            Some(_) => now + (self.terms.reports_every * UP_PACE).max(self.beat()),
+            Some(_) => now + (self.terms.report_interval * UP_PACE).max(self.beat()),
             None if asks => self.servers[&id].next_probe.max(next),
             None => now + silence,
         };
@@ -85,9 +86,9 @@
     /// False for a viewing that, by its hint, ends before a step up has earned twice what a change costs.
     pub(super) fn pays_back(&self, (asker, vw): &(Asker, &ViewingId)) -> bool {
         let it = &self.viewings[*vw];
-        let worth = |rung: usize| self.terms.worth.get(rung).copied().unwrap_or(rung as f64);
+        let worth = |rung: usize| self.terms.rung_values.get(rung).copied().unwrap_or(rung as f64);
         let gain = worth(asker.rung.0 + 1) - worth(asker.rung.0);
         let needs = self.terms.change_cost * (2.0 / gain.max(1e-3));
-        it.wish.lasts.is_none_or(|lasts| it.started + lasts - self.now >= needs)
+        it.wish.expected_duration.is_none_or(|lasts| it.started + lasts - self.now >= needs)
     }
 }
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -16,15 +16,15 @@
 mod uplinks;
 
 use super::*;
-use crate::ids::{Cell, Kind, ManagerIx};
-use crate::terms::{Budget, ColdPace, Package, Tenant};
+use crate::config::{ColdStart, Package, ResendBudget, Tenant};
+use crate::ids::{Cell, HardwareKind, ManagerIndex};
 
 /// Keeps what was said, a word each.
 #[derive(Default)]
 struct Said(Vec<String>);
 
-impl Answers for Said {
-    fn relay(&mut self, _: &ViewingId, server: &ServerId, time_out: Ms) {
+impl PlacementActions for Said {
+    fn tune_in(&mut self, _: &ViewingId, server: &ServerId, time_out: Ms) {
         self.0.push(format!("relay {server} {}", time_out.0));
     }
     fn step_to(&mut self, vw: &ViewingId, rung: Rung) {
@@ -36,11 +36,11 @@
     fn abort(&mut self, _: &ViewingId) {
         self.0.push("abort".into());
     }
-    fn schedule(&mut self, _: BellTag, _: Ms) {}
+    fn schedule(&mut self, _: TimerTag, _: Ms) {}
     fn subscribe(&mut self) {
         self.0.push("subscribe".into());
     }
-    fn inspect(&mut self, server: &ServerId) {
+    fn probe(&mut self, server: &ServerId) {
         self.0.push(format!("inspect {server}"));
     }
 }
@@ -50,8 +50,8 @@
         name: format!("worth {value}"),
         value,
         join_target: Ms(1000.0),
-        repeat: Repeat::Idempotent,
-        scale: 1.0,
+        semantics: RequestSemantics::Idempotent,
+        rate_scale: 1.0,
         floor: Rung(0),
         top: Rung(3),
         seats: 0,
@@ -60,45 +60,45 @@
 }
 
 /// Rates 1, 2, 4 and 8; a link of 100, an uplink of 1000; two managers; 6 set-ups in any cold second.
-fn terms() -> Terms {
-    Terms {
-        me: ManagerIx(0),
-        managers: 2.0,
+fn terms() -> PlacementConfig {
+    PlacementConfig {
+        manager: ManagerIndex(0),
+        manager_count: 2.0,
         zone: "here".into(),
         packages: vec![package(1.0), package(3.0)],
         tenants: vec![Tenant { name: "t".into(), allowance_per_s: 1.0 }],
         ladder_kb: vec![1.0, 2.0, 4.0, 8.0],
-        worth: Vec::new(),
-        join: 1.0,
+        rung_values: Vec::new(),
+        live_join_share: 1.0,
         cells: 10,
         racks: 2,
         link_unit_kb: 100.0,
         uplink_kb: 1000.0,
         uplinks_reported: true,
         reports_on_probe: false,
-        weights_told: true,
-        places: [(Kind::from("k"), 48.0)].into(),
-        seen_after: Ms(1000.0),
-        reports_every: Ms(2000.0),
+        weights_listed: true,
+        places_by_kind: [(HardwareKind::from("k"), 48.0)].into(),
+        report_delay: Ms(1000.0),
+        report_interval: Ms(2000.0),
         change_cost: Ms(500.0),
         max_tune_ins: 3,
         max_stay_away: None,
         must_subscribe: false,
-        cross_price: 0.0,
-        cold: ColdPace {
-            lasts: Ms(10_000.0),
+        cross_zone_price: 0.0,
+        cold: ColdStart {
+            warm_up: Ms(10_000.0),
             start_capacity: 0.5,
             fall_multiple: 4.0,
             fall_window: Ms(1000.0),
-            arrives_within: Ms(0.0),
+            max_send_delay: Ms(0.0),
         },
         budget: None,
         tick: Ms(10.0),
     }
 }
 
-fn entry(server: &str, cell: u64) -> Entry {
-    Entry {
+fn entry(server: &str, cell: u64) -> ServerEntry {
+    ServerEntry {
         kind: "k".into(),
         cell: Cell(cell),
         availability: Availability::Up,
@@ -109,23 +109,23 @@
     }
 }
 
-fn wish(vw: &str) -> Wish {
-    Wish {
-        vw: vw.into(),
-        package: PackageIx(0),
+fn wish(vw: &str) -> ViewingRequest {
+    ViewingRequest {
+        viewing: vw.into(),
+        package: PackageIndex(0),
         tenant: None,
         title: "film".into(),
-        base: 0,
-        copies: 4,
-        best: Rung(3),
-        due: Ms(104_000.0),
-        lasts: None,
+        first_cell: 0,
+        cell_count: 4,
+        max_rung: Rung(3),
+        deadline: Ms(104_000.0),
+        expected_duration: None,
     }
 }
 
 /// At 100 s, long after its start, with servers s0, s1, ... in cells 0, 1, ...
-fn placement(terms: Terms, servers: usize) -> Placement {
-    let mut it = Placement::born(Ms(0.0), 7, terms, &mut Said::default());
+fn placement(terms: PlacementConfig, servers: usize) -> Placement {
+    let mut it = Placement::new(Ms(0.0), 7, terms, &mut Said::default());
     it.now = Ms(100_000.0);
     for cell in 0..servers {
         let entry = entry(&format!("s{cell}"), cell as u64);
@@ -153,11 +153,11 @@
 }
 
 fn asker(package: usize, best: usize, over_share: bool) -> Asker {
-    Asker { package: PackageIx(package), best: Rung(best), rung: Rung(best), over_share }
+    Asker { package: PackageIndex(package), best: Rung(best), rung: Rung(best), over_share }
 }
 
-fn live() -> Terms {
-    let mut terms = Terms { join: 0.25, ..terms() };
+fn live() -> PlacementConfig {
+    let mut terms = PlacementConfig { live_join_share: 0.25, ..terms() };
     terms.packages[0].live = true;
     terms
 }
--- a/src/placement/tests/cold_fleet.rs
+++ b/src/placement/tests/cold_fleet.rs
@@ -37,7 +37,7 @@
 }
 
 pub struct Fleet {
-    terms: Terms,
+    terms: PlacementConfig,
     dice: Chance,
     managers: BTreeMap<u64, Placement>,
     /// What happens to which manager, the latest first.
@@ -48,22 +48,23 @@
 }
 
 /// One package; the settings allow `n` set-ups in a fall window at the lowest warmth.
-pub fn cold_terms(managers: u64, n: f64) -> Terms {
-    let mut terms = Terms { managers: managers as f64, packages: vec![package(1.0)], ..terms() };
+pub fn cold_terms(managers: u64, n: f64) -> PlacementConfig {
+    let mut terms =
+        PlacementConfig { manager_count: managers as f64, packages: vec![package(1.0)], ..terms() };
     let cold = &mut terms.cold;
-    (cold.lasts, cold.fall_window, cold.arrives_within) = (Ms(LASTS), Ms(FALL_WINDOW), Ms(CONNECT));
+    (cold.warm_up, cold.fall_window, cold.max_send_delay) = (Ms(LASTS), Ms(FALL_WINDOW), Ms(CONNECT));
     let places = n * LASTS / FALL_WINDOW / cold.start_capacity / cold.fall_multiple;
     // A little more than exact, so that rounding does not take one set-up away.
-    terms.places = [(Kind::from("k"), places * (1.0 + 1e-12))].into();
+    terms.places_by_kind = [(HardwareKind::from("k"), places * (1.0 + 1e-12))].into();
     terms
 }
 
 /// A manager that is told at once, by a saved list, of the server and its start.
-pub fn told_at_birth(now: Ms, seed: u64, me: u64, terms: Terms) -> Placement {
+pub fn told_at_birth(now: Ms, seed: u64, me: u64, terms: PlacementConfig) -> Placement {
     let mut said = Said::default();
-    let mut it = Placement::born(now, seed, Terms { me: ManagerIx(me), ..terms }, &mut said);
-    let started = Entry { started: Some(Ms(START)), ..entry("s0", 0) };
-    it.members(now, ListMode::Saved, &[started], &mut said);
+    let mut it = Placement::new(now, seed, PlacementConfig { manager: ManagerIndex(me), ..terms }, &mut said);
+    let started = ServerEntry { started: Some(Ms(START)), ..entry("s0", 0) };
+    it.update_servers(now, ListMode::Saved, &[started], &mut said);
     it
 }
 
@@ -151,11 +152,12 @@
             match news {
                 News::Ended => drop(self.managers.remove(&me)),
                 News::Born(managers) => {
-                    let (seed, terms) = (self.dice.0, Terms { managers, ..self.terms.clone() });
+                    let (seed, terms) =
+                        (self.dice.0, PlacementConfig { manager_count: managers, ..self.terms.clone() });
                     self.managers.insert(me, told_at_birth(at, seed, me, terms));
                 }
                 News::Part(slots, of) => {
-                    self.managers.get_mut(&me).into_iter().for_each(|it| it.part(at, &slots, of));
+                    self.managers.get_mut(&me).into_iter().for_each(|it| it.set_slots(at, &slots, of));
                 }
             }
         }
