--- a/src/placement/tests/cold_ramp.rs
+++ b/src/placement/tests/cold_ramp.rs
@@ -58,8 +58,8 @@
 #[test]
 fn a_new_manager_sends_its_part_to_a_server_that_it_only_doubts() {
     let now = Ms(START + 500.0);
-    let mut it = Placement::born(now, 1, cold_terms(1, 3.0), &mut Said::default());
-    it.members(now, ListMode::Saved, &[entry("s0", 0)], &mut Said::default());
+    let mut it = Placement::new(now, 1, cold_terms(1, 3.0), &mut Said::default());
+    it.update_servers(now, ListMode::Saved, &[entry("s0", 0)], &mut Said::default());
     for _ in 0..3 {
         assert!(allows(&mut it, 0.0));
         server(&mut it, "s0").sent.push(now);
@@ -82,8 +82,8 @@
 #[test_case::test_case(1.0, 2.0, 15, 15; "shrinks at once")]
 fn of_two_parts_the_lesser_counts_until_others_can_know(before: f64, of: f64, soon: usize, later: usize) {
     let mut it = told_at_birth(Ms(0.0), 1, 0, cold_terms(1, 30.0));
-    it.part(Ms(0.0), &[0], before);
-    it.part(Ms(START + 500.0), &[0], of);
+    it.set_slots(Ms(0.0), &[0], before);
+    it.set_slots(Ms(START + 500.0), &[0], of);
     for (after, most) in [(0.0, soon), (2400.0, soon), (4000.0, later)] {
         let mut sent = 0;
         while allows(&mut it, after) {
@@ -98,13 +98,17 @@
 /// Through the inputs alone: what was sent is kept for as long as it counts.
 #[test]
 fn viewings_set_up_at_a_cold_server_keep_to_the_pace() {
-    let terms = Terms { link_unit_kb: 1e6, uplink_kb: 0.0, ..cold_terms(1, 10.0) };
+    let terms = PlacementConfig { link_unit_kb: 1e6, uplink_kb: 0.0, ..cold_terms(1, 10.0) };
     let mut it = told_at_birth(Ms(0.0), 1, 0, terms);
     let mut sent: Vec<f64> = Vec::new();
     for no in 0..800 {
         let (now, mut said) = (Ms(START + no as f64 * 10.0), Said::default());
-        it.incoming(now, Wish { due: now + Ms(400.0), ..wish(&format!("v{no}")) }, &mut said);
-        it.bell(now, BellTag(0), &mut said);
+        it.request_viewing(
+            now,
+            ViewingRequest { deadline: now + Ms(400.0), ..wish(&format!("v{no}")) },
+            &mut said,
+        );
+        it.timer_fired(now, TimerTag(0), &mut said);
         sent.extend(said.0.iter().filter(|it| it.starts_with("relay s0")).map(|_| now.0));
     }
     // Of 800 over 8 s, ten go there in each send window.
--- a/src/placement/tests/costs.rs
+++ b/src/placement/tests/costs.rs
@@ -15,11 +15,11 @@
     let mut kept_set_ups = Vec::new();
     for held in [280, 2_800, 28_000, 140_000] {
         let link = 5.0 * (held as f64 / SERVERS as f64).max(8.0);
-        let ample = Terms {
+        let ample = PlacementConfig {
             link_unit_kb: link,
             uplink_kb: 1e9,
             cells: SERVERS as u64,
-            places: [(Kind::from("k"), 1e6)].into(),
+            places_by_kind: [(HardwareKind::from("k"), 1e6)].into(),
             ..terms()
         };
         let mut it = placement(ample, SERVERS);
@@ -27,15 +27,21 @@
         let mut set_up = |it: &mut Placement, no: usize| {
             let (vw, now) = (format!("v{no}"), it.now + Ms(0.01));
             let (title, base) = (format!("t{}", no * 31 % 1000), (no * 31 % 1000 * 7 % SERVERS) as u64);
-            let (package, due) = (PackageIx(no % 2), now + Ms(4000.0));
-            it.incoming(
+            let (package, due) = (PackageIndex(no % 2), now + Ms(4000.0));
+            it.request_viewing(
                 now,
-                Wish { title: title.as_str().into(), base, package, due, ..wish(&vw) },
+                ViewingRequest {
+                    title: title.as_str().into(),
+                    first_cell: base,
+                    package,
+                    deadline: due,
+                    ..wish(&vw)
+                },
                 &mut said,
             );
             let id = ViewingId::from(vw.as_str());
             if let Some(server) = it.viewings.get(&id).and_then(|it| it.place().cloned()) {
-                it.first(now, &id, &server, &mut said);
+                it.viewing_started(now, &id, &server, &mut said);
             }
             said.0.clear();
         };
@@ -59,12 +65,12 @@
             .viewings
             .values()
             .step_by(held / 140)
-            .filter_map(|vw| Some((vw.wish.vw.clone(), vw.place()?.clone())))
+            .filter_map(|vw| Some((vw.wish.viewing.clone(), vw.place()?.clone())))
             .collect();
         lap(2, 2_000, &mut |no| {
             let (vw, at) = &holders[no % holders.len()];
             let now = it.now + Ms(0.01);
-            it.change(now, vw, Topic::LinkAsked, 0.5, at, &mut Said::default());
+            it.note_received(now, vw, Topic::LinkAsked, 0.5, at, &mut Said::default());
         });
         lap(1, tries, &mut |no| {
             for holder in [no * 7, no * 7 + 1] {
--- a/src/placement/tests/limits.rs
+++ b/src/placement/tests/limits.rs
@@ -3,16 +3,16 @@
 use super::*;
 use test_case::test_case;
 
-#[test_case(Repeat::AtMostOnce, Outcome::NoConnection, "shed", true; "unsafe that never ran")]
-#[test_case(Repeat::AtMostOnce, Outcome::NoAnswer, "abort", false; "unsafe that may have run")]
-#[test_case(Repeat::AtMostOnce, Outcome::CalledOff, "abort", false; "unsafe that was called off")]
-#[test_case(Repeat::Idempotent, Outcome::NoAnswer, "shed", true; "idempotent")]
+#[test_case(RequestSemantics::AtMostOnce, Outcome::NoConnection, "shed", true; "unsafe that never ran")]
+#[test_case(RequestSemantics::AtMostOnce, Outcome::NoAnswer, "abort", false; "unsafe that may have run")]
+#[test_case(RequestSemantics::AtMostOnce, Outcome::CalledOff, "abort", false; "unsafe that was called off")]
+#[test_case(RequestSemantics::Idempotent, Outcome::NoAnswer, "shed", true; "idempotent")]
 #[test_case(
-    Repeat::Deduplicated { group: Group::SameZone, window: Ms(9e9) }, Outcome::NoAnswer, "abort", true; "group"
+    RequestSemantics::Deduplicated { group: DedupScope::SameZone, window: Ms(9e9) }, Outcome::NoAnswer, "abort", true; "group"
 )]
-fn rule_2_what_may_have_run(repeat: Repeat, outcome: Outcome, last_word: &str, again: bool) {
+fn rule_2_what_may_have_run(repeat: RequestSemantics, outcome: Outcome, last_word: &str, again: bool) {
     let mut terms = terms();
-    terms.packages[0].repeat = repeat;
+    terms.packages[0].semantics = repeat;
     let mut it = placement(terms, 2);
     let viewing = add(&mut it, "a", Phase::Waiting, 0, vec![tried("s0", Some(outcome))]);
     assert_eq!(it.may_tune_in(&viewing), again);
@@ -21,12 +21,12 @@
     assert_eq!(said.0, [last_word]);
 }
 
-#[test_case(Group::SameZone, 9e9, &["s0", "s1"]; "zone")]
-#[test_case(Group::SameCell, 9e9, &["s0"]; "cell")]
-#[test_case(Group::All, 50.0, &[]; "window is over")]
-fn rule_2_deduplicated_stays_in_group_and_window(group: Group, window: f64, expected: &[&str]) {
+#[test_case(DedupScope::SameZone, 9e9, &["s0", "s1"]; "zone")]
+#[test_case(DedupScope::SameCell, 9e9, &["s0"]; "cell")]
+#[test_case(DedupScope::All, 50.0, &[]; "window is over")]
+fn rule_2_deduplicated_stays_in_group_and_window(group: DedupScope, window: f64, expected: &[&str]) {
     let mut terms = terms();
-    terms.packages[0].repeat = Repeat::Deduplicated { group, window: Ms(window) };
+    terms.packages[0].semantics = RequestSemantics::Deduplicated { group, window: Ms(window) };
     let mut it = placement(terms, 3);
     server(&mut it, "s2").entry.zone = "there".into();
     let viewing = add(&mut it, "a", Phase::Waiting, 0, vec![tried("s0", Some(Outcome::NoAnswer))]);
@@ -54,7 +54,7 @@
     terms.packages[0].floor = Rung(2);
     let mut it = placement(terms, 1);
     let mut viewing = add(&mut it, "a", Phase::Waiting, 2, vec![]);
-    viewing.wish.best = Rung(best);
+    viewing.wish.max_rung = Rung(best);
     assert_eq!(it.seat_free(&viewing), free);
 }
 
@@ -62,8 +62,8 @@
 #[test_case(2, 1, false; "used up")]
 #[test_case(2, 4, true; "earned by viewings taken")]
 fn rule_6_budget(further: usize, taken: usize, allowed: bool) {
-    let budget = Some(Budget { free: 1.0, ratio: 0.5, span: Ms(1000.0) });
-    let mut it = placement(Terms { budget, ..terms() }, 1);
+    let budget = Some(ResendBudget { free_resends: 1.0, ratio: 0.5, window: Ms(1000.0) });
+    let mut it = placement(PlacementConfig { budget, ..terms() }, 1);
     it.further = [vec![Ms(98_000.0); 5], vec![it.now; further - 1]].concat().into();
     it.taken = vec![it.now; taken].into();
     let viewing = add(&mut it, "a", Phase::Waiting, 0, vec![tried("s0", Some(Outcome::TurnedAway))]);
@@ -78,11 +78,11 @@
 #[test_case(&[0, 4, 7], 8.0, 8, true; "past its slots")]
 fn arrivals_past_a_tenants_share(slots: &[u64], of: f64, earlier: usize, over: bool) {
     let mut it = placement(terms(), 0);
-    it.part(Ms(0.0), slots, of);
+    it.set_slots(Ms(0.0), slots, of);
     for _ in 0..earlier {
-        it.over_share(TenantIx(0));
+        it.over_share(TenantIndex(0));
     }
-    assert_eq!(it.over_share(TenantIx(0)), over);
+    assert_eq!(it.over_share(TenantIndex(0)), over);
 }
 
 // A further tune-in on the edge of the window counts, a viewing taken there does not.
@@ -90,8 +90,8 @@
 #[test_case(1009.0, 0.0, false; "a further one on the edge")]
 #[test_case(1010.0, 995.0, false; "a viewing taken on the edge")]
 fn rule_6_holds_on_the_edge_of_a_window(further: f64, taken: f64, allowed: bool) {
-    let budget = Some(Budget { free: 0.0, ratio: 1.0, span: Ms(1000.0) });
-    let mut it = placement(Terms { budget, ..terms() }, 1);
+    let budget = Some(ResendBudget { free_resends: 0.0, ratio: 1.0, window: Ms(1000.0) });
+    let mut it = placement(PlacementConfig { budget, ..terms() }, 1);
     it.further = vec![it.now - Ms(further)].into();
     it.taken = vec![it.now - Ms(taken)].into();
     assert_eq!(it.budget_left(), allowed);
--- a/src/placement/tests/links.rs
+++ b/src/placement/tests/links.rs
@@ -45,7 +45,7 @@
         let (vw, server) = (format!("{vw}").as_str().into(), "s1".into());
         let outcome = if handed_over < 0.0 { Outcome::ConnectionLost } else { Outcome::Served };
         let (load, mut said) = (Load::default(), Said::default());
-        it.answer(it.now, &vw, TuneInNo(0), &server, outcome, true, load, &mut said);
+        it.tune_in_ended(it.now, &vw, TuneInIndex(0), &server, outcome, true, load, &mut said);
     }
     for vw in before..after {
         playing(&mut it, &format!("{vw}"), "s1", 2);
@@ -59,10 +59,10 @@
 
 #[test]
 fn places_stand_in_for_weights_that_are_not_told() {
-    let places = [(Kind::from("k"), 20.0), (Kind::from("large"), 60.0)].into();
-    let mut it = placement(Terms { weights_told: false, places, ..terms() }, 1);
-    let large = Entry { kind: "large".into(), ..entry("s1", 1) };
-    it.members(it.now, ListMode::Incremental, &[large], &mut Said::default());
+    let places = [(HardwareKind::from("k"), 20.0), (HardwareKind::from("large"), 60.0)].into();
+    let mut it = placement(PlacementConfig { weights_listed: false, places_by_kind: places, ..terms() }, 1);
+    let large = ServerEntry { kind: "large".into(), ..entry("s1", 1) };
+    it.update_servers(it.now, ListMode::Incremental, &[large], &mut Said::default());
     let kb = |id: &str| it.link_kb(&it.servers[&id.into()]);
     assert_eq!((kb("s0"), kb("s1")), (50.0, 150.0));
 }
@@ -70,9 +70,9 @@
 // A manager that held one kept slot of 37 took links that tell nothing for nearly full.
 #[test]
 fn what_is_usual_goes_by_managers_and_not_by_slots() {
-    let mut it = placement(Terms { managers: 5.0, ..terms() }, 1);
+    let mut it = placement(PlacementConfig { manager_count: 5.0, ..terms() }, 1);
     let before = it.usually(0.9, 100.0, (10.0, 1.0)).asked;
-    it.part(Ms(0.0), &[36], 37.0);
+    it.set_slots(Ms(0.0), &[36], 37.0);
     assert_eq!(it.usually(0.9, 100.0, (10.0, 1.0)).asked, before);
     assert!((before - (0.9 * 0.8 + 0.1)).abs() < 1e-9);
 }
--- a/src/placement/tests/pace.rs
+++ b/src/placement/tests/pace.rs
@@ -7,8 +7,8 @@
 // two.
 #[test_case(Ms(100_001.0), 0, 2, true; "cold, paced")]
 #[test_case(Ms(100_001.0), 0, 3, false; "cold, its part is used up")]
-#[test_case(Ms::LONG_AGO, 0, 9, true; "warm")]
-#[test_case(Ms::LONG_AGO, 1, 3, false; "failed, may have restarted unseen")]
+#[test_case(Ms::DISTANT_PAST, 0, 9, true; "warm")]
+#[test_case(Ms::DISTANT_PAST, 1, 3, false; "failed, may have restarted unseen")]
 fn rule_4_cold_pace(cold_until: Ms, failures: u32, sent: usize, allowed: bool) {
     let mut it = placement(terms(), 1);
     let now = it.now;
@@ -26,8 +26,9 @@
 fn rule_4_many_managers_take_turns(places: f64, most: usize, on_edges: bool) {
     let mut sent: Vec<f64> = Vec::new();
     for me in 0..9 {
-        let mut it = placement(Terms { managers: 9.0, me: ManagerIx(me), ..terms() }, 1);
-        it.terms.places.insert("k".into(), places);
+        let mut it =
+            placement(PlacementConfig { manager_count: 9.0, manager: ManagerIndex(me), ..terms() }, 1);
+        it.terms.places_by_kind.insert("k".into(), places);
         server(&mut it, "s0").cold_until = Ms(1e9);
         // A window is a hundred ticks: at worst all send about an edge between two turns.
         let edge = |tick: &usize| (95..105).contains(&(tick % 200));
@@ -51,7 +52,8 @@
 #[test]
 fn rule_4_turns_are_long_enough_to_be_used() {
     let sent = |me| {
-        let mut it = placement(Terms { managers: 9.0, me: ManagerIx(me), ..terms() }, 1);
+        let mut it =
+            placement(PlacementConfig { manager_count: 9.0, manager: ManagerIndex(me), ..terms() }, 1);
         server(&mut it, "s0").cold_until = Ms(1e9);
         // A viewing for that server comes each 700 ms.
         let mut times = 0;
@@ -81,7 +83,7 @@
 // What started unlisted before the manager did is listed soon; a whole warm-up of doubt emptied the fleet.
 #[test]
 fn a_restarted_manager_doubts_for_two_fall_windows() {
-    let it = Placement::born(Ms(5000.0), 1, terms(), &mut Said::default());
+    let it = Placement::new(Ms(5000.0), 1, terms(), &mut Said::default());
     assert_eq!(it.unsure_until, Ms(7000.0));
 }
 
@@ -101,9 +103,12 @@
     let mut sent: Vec<(f64, usize)> = Vec::new();
     let edge = |tick: &usize| (95..105).contains(&(tick % 200));
     for (number, slots) in held.iter().enumerate() {
-        let mut it = placement(Terms { managers: 4.0, me: ManagerIx(number as u64), ..terms() }, 1);
-        it.part(Ms(0.0), slots, of);
-        it.terms.places.insert("k".into(), places);
+        let mut it = placement(
+            PlacementConfig { manager_count: 4.0, manager: ManagerIndex(number as u64), ..terms() },
+            1,
+        );
+        it.set_slots(Ms(0.0), slots, of);
+        it.terms.places_by_kind.insert("k".into(), places);
         server(&mut it, "s0").cold_until = Ms(1e9);
         for tick in (0..4000).filter(|it| !on_edges || edge(it)) {
             it.now = Ms(100_000.0 + tick as f64 * 10.0);
--- a/src/placement/tests/pick.rs
+++ b/src/placement/tests/pick.rs
@@ -62,7 +62,7 @@
         assert_eq!(held.iter().filter(|viewing| it.gathers(viewing, &id)).count(), 1);
     }
     let mut other = wish("recorded");
-    other.package = PackageIx(1);
+    other.package = PackageIndex(1);
     let other = Viewing::taken(other, it.now, Rung(0), false);
     assert!(it.gathers(&other, &"s0".into()));
 }
@@ -88,8 +88,8 @@
     probes: bool,
     expected: std::ops::RangeInclusive<usize>,
 ) {
-    let mut it = placement(Terms { reports_on_probe: probes, ..terms() }, 4);
-    it.list(&Entry { weight: 4.0, ..entry("s2", 2) });
+    let mut it = placement(PlacementConfig { reports_on_probe: probes, ..terms() }, 4);
+    it.list(&ServerEntry { weight: 4.0, ..entry("s2", 2) });
     let holders: Vec<ServerId> = (0..4).map(|it| format!("s{it}").as_str().into()).collect();
     let drawn = (0..2000).filter(|_| it.draw_holder(&holders) == 2).count();
     assert!(expected.contains(&drawn), "{drawn}");
--- a/src/placement/tests/plain.rs
+++ b/src/placement/tests/plain.rs
@@ -7,12 +7,12 @@
 
 pub(super) fn askers(it: &Placement, server: &ServerId) -> Vec<(ViewingId, Asker)> {
     let there = it.viewings.values().filter(|vw| vw.place() == Some(server));
-    there.map(|vw| (vw.wish.vw.clone(), it.asker(vw))).collect()
+    there.map(|vw| (vw.wish.viewing.clone(), it.asker(vw))).collect()
 }
 
 pub(super) fn bound(it: &Placement, askers: &[Asker]) -> f64 {
     let ones: Vec<Counted> = askers.iter().map(|asker| (*asker, 1.0)).collect();
-    let mut counts: BTreeMap<(PackageIx, Rung), f64> = BTreeMap::new();
+    let mut counts: BTreeMap<(PackageIndex, Rung), f64> = BTreeMap::new();
     ones.iter().for_each(|one| *counts.entry((one.0.package, one.0.rung)).or_default() += 1.0);
     counts.iter().map(|((package, rung), n)| it.rate(*package, *rung) * (n + PHI * n.sqrt())).sum()
 }
@@ -128,40 +128,56 @@
     let now = it.now;
     match (kind, one) {
         (0..=3, _) => {
-            let package = PackageIx(which % 2);
+            let package = PackageIndex(which % 2);
             let title = if which % 3 == 0 { "film" } else { "show" };
             let (best, due) = (Rung(which % 4), now + Ms(4000.0));
-            let tenant = (which % 5 == 0).then_some(TenantIx(0));
+            let tenant = (which % 5 == 0).then_some(TenantIndex(0));
             let vw = format!("v{no}");
-            it.incoming(
+            it.request_viewing(
                 now,
-                Wish { package, title: title.into(), best, tenant, due, ..wish(&vw) },
+                ViewingRequest {
+                    package,
+                    title: title.into(),
+                    max_rung: best,
+                    tenant,
+                    deadline: due,
+                    ..wish(&vw)
+                },
                 &mut said,
             );
         }
         (4 | 5, Some(vw)) => {
             if let Some(server) = it.viewings[&vw].place().cloned() {
-                it.first(now, &vw, &server, &mut said);
+                it.viewing_started(now, &vw, &server, &mut said);
             }
         }
         (6, Some(vw)) => {
             if let Some(server) = it.viewings[&vw].place().cloned() {
-                let no = TuneInNo(it.viewings[&vw].tune_ins.len() - 1);
+                let no = TuneInIndex(it.viewings[&vw].tune_ins.len() - 1);
                 let last = it.viewings[&vw].phase == Phase::Playing || which % 2 == 0;
-                it.answer(now, &vw, no, &server, Outcome::TurnedAway, last, Load::default(), &mut said);
+                it.tune_in_ended(
+                    now,
+                    &vw,
+                    no,
+                    &server,
+                    Outcome::TurnedAway,
+                    last,
+                    Load::default(),
+                    &mut said,
+                );
             }
         }
-        (7, Some(vw)) => it.dropped(now, &vw, &mut said),
+        (7, Some(vw)) => it.viewer_left(now, &vw, &mut said),
         (8, Some(vw)) => {
             let topic = [Topic::LinkAsked, Topic::UplinkAsked, Topic::ShareDelivered][which % 3];
-            it.change(now, &vw, topic, value / 8.0, &id, &mut said);
+            it.note_received(now, &vw, topic, value / 8.0, &id, &mut said);
         }
         (9, _) => {
             let mut entry = entry(&id.to_string(), (which % 6) as u64);
             entry.started = (which % 4 == 1).then_some(now);
-            it.members(now, ListMode::Incremental, &[entry], &mut said);
+            it.update_servers(now, ListMode::Incremental, &[entry], &mut said);
         }
-        _ => it.bell(now, BellTag(0), &mut said),
+        _ => it.timer_fired(now, TimerTag(0), &mut said),
     }
 }
 
@@ -181,7 +197,7 @@
         let mut terms = terms();
         terms.packages[1].seats = 3;
         terms.packages[1].floor = Rung(1);
-        let mut it = placement(Terms { link_unit_kb: 40.0, ..terms }, 4);
+        let mut it = placement(PlacementConfig { link_unit_kb: 40.0, ..terms }, 4);
         for (no, one) in steps.into_iter().enumerate() {
             step(&mut it, no, one);
             same(&mut it, capacity, lot)?;
@@ -198,7 +214,7 @@
     ) {
         let mut rate = 0.0;
         let ladder_kb = ladder.iter().map(|it| { rate += it; rate }).collect();
-        let it = placement(Terms { ladder_kb, ..terms() }, 0);
+        let it = placement(PlacementConfig { ladder_kb, ..terms() }, 0);
         let counts: Vec<Counted> = rows.iter()
             .map(|(package, best, over, n)| (asker(*package, *best, *over), *n as f64)).collect();
         let mut one_by_one: Vec<Asker> =
--- a/src/placement/tests/probes.rs
+++ b/src/placement/tests/probes.rs
@@ -4,8 +4,8 @@
 use test_case::test_case;
 
 /// Load is told to probes only; notes are one second late.
-fn probing() -> Terms {
-    Terms { reports_on_probe: true, reports_every: Ms(0.0), ..terms() }
+fn probing() -> PlacementConfig {
+    PlacementConfig { reports_on_probe: true, report_interval: Ms(0.0), ..terms() }
 }
 
 fn told(asked: f64) -> Load {
@@ -14,7 +14,7 @@
 
 fn asked_for(it: &mut Placement) -> Said {
     let mut said = Said::default();
-    it.incoming(it.now, wish("new"), &mut said);
+    it.request_viewing(it.now, wish("new"), &mut said);
     said
 }
 
@@ -27,9 +27,9 @@
     said.0.sort();
     assert_eq!(said.0, ["inspect s0", "inspect s1"]);
     let (mut one, mut both, now) = (Said::default(), Said::default(), it.now + Ms(20.0));
-    it.echo(now, &"s0".into(), Outcome::Served, told(0.9), &mut one);
+    it.probe_ended(now, &"s0".into(), Outcome::Served, told(0.9), &mut one);
     assert!(one.0.is_empty(), "{:?}", one.0);
-    it.echo(now, &"s1".into(), Outcome::Served, told(0.1), &mut both);
+    it.probe_ended(now, &"s1".into(), Outcome::Served, told(0.1), &mut both);
     assert!(both.0.iter().any(|it| it.starts_with("relay s1")), "{:?}", both.0);
 }
 
@@ -39,7 +39,7 @@
     let mut it = placement(probing(), 2);
     asked_for(&mut it);
     let mut said = Said::default();
-    it.bell(it.now + Ms(later), BellTag(0), &mut said);
+    it.timer_fired(it.now + Ms(later), TimerTag(0), &mut said);
     assert_eq!(said.0.iter().filter(|it| it.starts_with("relay")).count(), relays);
 }
 
@@ -57,7 +57,7 @@
     let mut it = placement(probing(), 1);
     it.judge(&"s0".into(), Outcome::NoAnswer);
     let later = it.now + Ms(1500.0);
-    it.echo(later, &"s0".into(), outcome, told(0.5), &mut Said::default());
+    it.probe_ended(later, &"s0".into(), outcome, told(0.5), &mut Said::default());
     assert_eq!(it.servers[&"s0".into()].failures, failures);
 }
 
@@ -67,6 +67,6 @@
     let mut it = placement(probing(), 1);
     playing(&mut it, "a", "s0", 1);
     server(&mut it, "s0").delivered = (delivered, it.now);
-    it.echo(it.now, &"s0".into(), Outcome::Served, told(1.3), &mut Said::default());
+    it.probe_ended(it.now, &"s0".into(), Outcome::Served, told(1.3), &mut Said::default());
     assert_eq!(it.servers[&"s0".into()].seen.map(|it| it.asked), Some(expected));
 }
--- a/src/placement/tests/rules.rs
+++ b/src/placement/tests/rules.rs
@@ -40,7 +40,7 @@
 #[test_case(5000.0, "shed 2000"; "until the next note")]
 #[test_case(500.0, "shed 500"; "no longer than viewers respect")]
 fn blocked_viewers_are_told_when_to_come_back(most: f64, expected: &str) {
-    let mut it = placement(Terms { max_stay_away: Some(Ms(most)), ..terms() }, 0);
+    let mut it = placement(PlacementConfig { max_stay_away: Some(Ms(most)), ..terms() }, 0);
     add(&mut it, "a", Phase::Waiting, 0, vec![]);
     let mut said = Said::default();
     it.finish(&"a".into(), &mut said);
@@ -63,15 +63,15 @@
 }
 
 #[test_case(
-    Terms { ladder_kb: vec![], packages: vec![Package { top: Rung(0), ..package(1.0) }], ..terms() }; "no ladder"
+    PlacementConfig { ladder_kb: vec![], packages: vec![Package { top: Rung(0), ..package(1.0) }], ..terms() }; "no ladder"
 )]
-#[test_case(Terms { link_unit_kb: 0.0, uplink_kb: 0.0, ..terms() }; "zero capacity")]
-#[test_case(Terms { managers: 0.0, cells: 0, racks: 0, ..terms() }; "no managers, cells or racks")]
-#[test_case(Terms { reports_every: Ms(0.0), seen_after: Ms(0.0), tick: Ms(0.0), ..terms() }; "no notes")]
-fn odd_terms_lead_to_one_orderly_answer(terms: Terms) {
+#[test_case(PlacementConfig { link_unit_kb: 0.0, uplink_kb: 0.0, ..terms() }; "zero capacity")]
+#[test_case(PlacementConfig { manager_count: 0.0, cells: 0, racks: 0, ..terms() }; "no managers, cells or racks")]
+#[test_case(PlacementConfig { report_interval: Ms(0.0), report_delay: Ms(0.0), tick: Ms(0.0), ..terms() }; "no notes")]
+fn odd_terms_lead_to_one_orderly_answer(terms: PlacementConfig) {
     let mut it = placement(terms, 1);
     let mut said = Said::default();
-    it.incoming(it.now, wish("a"), &mut said);
+    it.request_viewing(it.now, wish("a"), &mut said);
     let last = said.0.last().unwrap();
     assert!(last == "shed" || last.starts_with("relay s0"));
 }
@@ -79,8 +79,8 @@
 #[test_case(4, 350.0; "another can follow")]
 #[test_case(0, 4000.0; "the budget is spent")]
 fn a_tune_in_that_none_can_follow_gets_its_time(free: usize, expected: f64) {
-    let budget = Some(Budget { free: free as f64, ratio: 0.0, span: Ms(1000.0) });
-    let mut it = placement(Terms { budget, ..terms() }, 2);
+    let budget = Some(ResendBudget { free_resends: free as f64, ratio: 0.0, window: Ms(1000.0) });
+    let mut it = placement(PlacementConfig { budget, ..terms() }, 2);
     let viewing = add(&mut it, "a", Phase::Waiting, 0, vec![]);
     assert_eq!(it.time_out(&viewing, true), Ms(expected));
 }
--- a/src/placement/tests/split.rs
+++ b/src/placement/tests/split.rs
@@ -54,14 +54,14 @@
 #[test]
 fn a_live_viewing_counts_as_a_further_one() {
     let it = placement(live(), 1);
-    assert_eq!((it.rate(PackageIx(0), Rung(3)), it.rate(PackageIx(1), Rung(3))), (2.0, 8.0));
+    assert_eq!((it.rate(PackageIndex(0), Rung(3)), it.rate(PackageIndex(1), Rung(3))), (2.0, 8.0));
 }
 
 // A step of the dear package frees twice as much for the same worth.
 #[test]
 fn the_step_that_costs_least_worth_for_its_rate_goes_down_first() {
-    let mut terms = Terms { worth: vec![0.2, 0.5, 0.8, 1.0], ..terms() };
-    (terms.packages[0].scale, terms.packages[1].scale) = (1.0, 16.0);
+    let mut terms = PlacementConfig { rung_values: vec![0.2, 0.5, 0.8, 1.0], ..terms() };
+    (terms.packages[0].rate_scale, terms.packages[1].rate_scale) = (1.0, 16.0);
     let it = placement(terms, 0);
     assert!(it.goes_down(&asker(1, 2, false), &asker(0, 3, false)).is_gt());
     assert!(it.goes_down(&asker(1, 2, false), &asker(0, 3, true)).is_lt(), "over its share comes first");
--- a/src/placement/tests/steps.rs
+++ b/src/placement/tests/steps.rs
@@ -11,7 +11,7 @@
 #[test_case(1.3, 0.9, &[]; "down, not drawn")]
 #[test_case(1.1, 0.05, &["a to 0"]; "a link a little short does not stay so")]
 fn a_part_of_a_step_is_drawn(asked: f64, lot: f64, expected: &[&str]) {
-    let mut it = placement(Terms { managers: 260.0, ..terms() }, 1);
+    let mut it = placement(PlacementConfig { manager_count: 260.0, ..terms() }, 1);
     let rung = if asked > 1.0 { 1 } else { 0 };
     playing(&mut it, "a", "s0", rung);
     it.terms.link_unit_kb = 10.0;
@@ -72,10 +72,10 @@
 #[test_case(Some(3_000.0), false; "ends soon")]
 #[test_case(None, true; "no hint")]
 fn a_step_up_must_be_paid_back(lasts: Option<f64>, pays: bool) {
-    let mut it = placement(Terms { worth: vec![0.2, 0.5, 0.8, 1.0], ..terms() }, 1);
+    let mut it = placement(PlacementConfig { rung_values: vec![0.2, 0.5, 0.8, 1.0], ..terms() }, 1);
     let viewing = playing(&mut it, "a", "s0", 1);
     let now = it.now;
-    it.amend(&"a".into(), |it| (it.started, it.wish.lasts) = (now, lasts.map(Ms)));
+    it.amend(&"a".into(), |it| (it.started, it.wish.expected_duration) = (now, lasts.map(Ms)));
     let vw = ViewingId::from("a");
     assert_eq!(it.pays_back(&(it.asker(&viewing), &vw)), pays);
 }
--- a/src/placement/tests/uplinks.rs
+++ b/src/placement/tests/uplinks.rs
@@ -9,7 +9,7 @@
 #[test_case(true, 0.8, 46.0; "a reported one is filled further than a link")]
 #[test_case(false, 0.8, 40.0; "one that is not is filled like a link")]
 fn uplinks_come_down_sooner(reported: bool, fill: f64, expected: f64) {
-    let mut it = placement(Terms { uplinks_reported: reported, ..terms() }, 1);
+    let mut it = placement(PlacementConfig { uplinks_reported: reported, ..terms() }, 1);
     it.terms.link_unit_kb = 1e6;
     playing(&mut it, "a", "s0", 0);
     let seen = Some(Seen { asked: 1.0, own: (50.0, 1.0), at: it.now });
@@ -50,7 +50,7 @@
 // Counts off by a fifth made the managers of an unreported uplink step down again and again.
 #[test]
 fn a_count_takes_nothing_from_viewings_that_play() {
-    let mut it = placement(Terms { uplinks_reported: false, uplink_kb: 10.0, ..terms() }, 1);
+    let mut it = placement(PlacementConfig { uplinks_reported: false, uplink_kb: 10.0, ..terms() }, 1);
     playing(&mut it, "a", "s0", 3);
     assert!(it.uplink_seen(&it.uplinks[&Rack(0)]).asked > 1.5);
     assert!(
@@ -62,7 +62,7 @@
 #[test_case(0.0, 0.5; "a rack's links, over the uplink")]
 #[test_case(0.4, 0.7; "times what short delivery showed to be missing")]
 fn an_unreported_uplink_is_counted(missing: f64, expected: f64) {
-    let mut it = placement(Terms { uplinks_reported: false, uplink_kb: 200.0, ..terms() }, 3);
+    let mut it = placement(PlacementConfig { uplinks_reported: false, uplink_kb: 200.0, ..terms() }, 3);
     for id in ["s0", "s2"] {
         it.note_link(&id.into(), 0.5, it.now);
     }
@@ -98,7 +98,7 @@
 // Links asked for four times what they gave made their rack look full.
 #[test]
 fn a_link_passes_no_more_than_it_has() {
-    let mut it = placement(Terms { uplinks_reported: false, uplink_kb: 200.0, ..terms() }, 3);
+    let mut it = placement(PlacementConfig { uplinks_reported: false, uplink_kb: 200.0, ..terms() }, 3);
     it.note_link(&"s0".into(), 4.0, it.now);
     it.note_link(&"s2".into(), 0.2, it.now);
     assert!((it.counted(&it.uplinks[&Rack(0)]) - 0.6).abs() < 1e-9);
@@ -107,7 +107,7 @@
 // A rack's links are summed once a moment; what the manager adds meanwhile counts at once.
 #[test]
 fn a_rack_is_summed_once_a_moment() {
-    let mut it = placement(Terms { uplinks_reported: false, ..terms() }, 4);
+    let mut it = placement(PlacementConfig { uplinks_reported: false, ..terms() }, 4);
     let (rack, before) = (Rack(0), it.counted(&it.uplinks[&Rack(0)]));
     playing(&mut it, "one", "s0", 3);
     let after = it.counted(&it.uplinks[&rack]);
--- a/src/placement/uplinks.rs
+++ b/src/placement/uplinks.rs
@@ -5,7 +5,7 @@
 impl Placement {
     /// What was told of an uplink, or shown by short delivery. Only this takes from viewings that play.
     pub(super) fn uplink_known(&self, uplink: &Uplink) -> Option<Seen> {
-        let short = |it: &Seen| self.now - it.at < self.terms.seen_after * 3.0;
+        let short = |it: &Seen| self.now - it.at < self.terms.report_delay * 3.0;
         let fresh = |it: &Seen| it.at > self.fresh_from() && (self.terms.uplinks_reported || short(it));
         uplink.seen.filter(fresh).map(|it| self.carried(self.terms.uplink_kb, it))
     }
@@ -28,7 +28,7 @@
 
     pub(super) fn note_uplink(&mut self, server: &ServerId, asked: f64, at: Ms) {
         let Some(rack) = self.servers.get(server).map(|it| self.rack(it)) else { return };
-        let old = (self.now - self.terms.seen_after).min(at);
+        let old = (self.now - self.terms.report_delay).min(at);
         let servers = &self.servers;
         let Some(uplink) = self.uplinks.get_mut(&rack) else { return };
         uplink.asked.retain(|id| !servers[id].unasked_since(old));
@@ -57,7 +57,7 @@
         // An uplink gives each of its servers no less than the best of them gets.
         let rack = self.rack(&self.servers[server]);
         let there = self.uplinks[&rack].servers.iter().map(|id| &self.servers[id]);
-        let told = |it: &Server| at - it.delivered.1 < self.terms.seen_after * 2.0;
+        let told = |it: &Server| at - it.delivered.1 < self.terms.report_delay * 2.0;
         let best = there.filter(|it| told(it)).map(|it| it.delivered.0).fold(share, f64::max);
         if explained || share < best * EXPLAINED {
             self.note_link(server, 1.0 / share.max(0.05), at);
--- a/src/state.rs
+++ b/src/state.rs
@@ -5,5 +5,5 @@
 mod viewing;
 
 pub use server::{Belief, Seen, Server, Uplink};
-pub use told::{Availability, Entry, ListMode, Load, Outcome, Topic, Wish};
+pub use told::{Availability, ListMode, Load, Outcome, ServerEntry, Topic, ViewingRequest};
 pub use viewing::{Phase, TuneIn, Viewing};
--- a/src/state/server.rs
+++ b/src/state/server.rs
@@ -1,6 +1,6 @@
 //! What the module knows of servers and of the uplinks of their racks.
 
-use super::told::{Availability, Entry};
+use super::told::{Availability, ServerEntry};
 use crate::census::{Census, Own, Past};
 use crate::ids::ServerId;
 use crate::time::Ms;
@@ -31,7 +31,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Server {
-    pub entry: Entry,
+    pub entry: ServerEntry,
     pub seen: Option<Seen>,
     /// The last note on the link itself, and since when delivery has been short.
     pub link_note: (f64, Ms),
@@ -80,40 +80,40 @@
 
 impl Default for Uplink {
     fn default() -> Uplink {
-        let counted = std::cell::Cell::new((Ms::LONG_AGO, 0.0, 0.0));
+        let counted = std::cell::Cell::new((Ms::DISTANT_PAST, 0.0, 0.0));
         Uplink {
             servers: BTreeSet::new(),
             asked: BTreeSet::new(),
             own: (0.0, 0.0),
             seen: None,
-            missing: (0.0, Ms::LONG_AGO),
+            missing: (0.0, Ms::DISTANT_PAST),
             counted,
         }
     }
 }
 
 impl Server {
-    pub fn new(entry: Entry, cold_until: Ms) -> Server {
+    pub fn new(entry: ServerEntry, cold_until: Ms) -> Server {
         Server {
             entry,
             seen: None,
-            link_note: (0.0, Ms::LONG_AGO),
+            link_note: (0.0, Ms::DISTANT_PAST),
             short_since: None,
-            delivered: (1.0, Ms::LONG_AGO),
+            delivered: (1.0, Ms::DISTANT_PAST),
             census: Census::default(),
             own: (0.0, 0.0),
             past: Past::default(),
             sent: Vec::new(),
             cold_until,
             failures: 0,
-            shunned_until: Ms::LONG_AGO,
-            look_at: Ms::LONG_AGO,
-            unsettled_at: Ms::LONG_AGO,
+            shunned_until: Ms::DISTANT_PAST,
+            look_at: Ms::DISTANT_PAST,
+            unsettled_at: Ms::DISTANT_PAST,
             lot: 1.0,
-            lot_at: Ms::LONG_AGO,
-            probed_at: Ms::LONG_AGO,
+            lot_at: Ms::DISTANT_PAST,
+            probed_at: Ms::DISTANT_PAST,
             probe_out: false,
-            next_probe: Ms::LONG_AGO,
+            next_probe: Ms::DISTANT_PAST,
             off_since: None,
         }
     }
--- a/src/state/told.rs
+++ b/src/state/told.rs
@@ -1,6 +1,6 @@
 //! What the module is told: the list, requests, notes and outcomes.
 
-use crate::ids::{Cell, Kind, PackageIx, Rung, ServerId, TenantIx, TitleId, ViewingId, Zone};
+use crate::ids::{Cell, HardwareKind, PackageIndex, Rung, ServerId, TenantIndex, TitleId, ViewingId, Zone};
 use crate::time::Ms;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,8 +32,8 @@
 
 /// One line of the server list.
 #[derive(Clone, Debug)]
-pub struct Entry {
-    pub kind: Kind,
+pub struct ServerEntry {
+    pub kind: HardwareKind,
     pub cell: Cell,
     pub availability: Availability,
     pub server: ServerId,
@@ -44,17 +44,17 @@
 
 /// What is watched and by whom, as a request or a viewing handed over tells it.
 #[derive(Clone, Debug)]
-pub struct Wish {
-    pub vw: ViewingId,
-    pub package: PackageIx,
-    pub tenant: Option<TenantIx>,
+pub struct ViewingRequest {
+    pub viewing: ViewingId,
+    pub package: PackageIndex,
+    pub tenant: Option<TenantIndex>,
     pub title: TitleId,
-    pub base: u64,
-    pub copies: u64,
-    pub best: Rung,
-    pub due: Ms,
+    pub first_cell: u64,
+    pub cell_count: u64,
+    pub max_rung: Rung,
+    pub deadline: Ms,
     /// A rough guess of how long it is watched, from its first start.
-    pub lasts: Option<Ms>,
+    pub expected_duration: Option<Ms>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/state/viewing.rs
+++ b/src/state/viewing.rs
@@ -1,7 +1,7 @@
 //! What the module knows of a viewing.
 
 use super::server::Server;
-use super::told::{Outcome, Wish};
+use super::told::{Outcome, ViewingRequest};
 use crate::ids::{Rung, ServerId};
 use crate::time::Ms;
 
@@ -24,7 +24,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Viewing {
-    pub wish: Wish,
+    pub wish: ViewingRequest,
     pub taken: Ms,
     pub phase: Phase,
     pub rung: Rung,
@@ -40,8 +40,8 @@
 
 impl Viewing {
     /// Nothing is owed yet and nothing is out.
-    pub fn taken(wish: Wish, taken: Ms, rung: Rung, over_share: bool) -> Viewing {
-        let (phase, tune_ins, started) = (Phase::Over, Vec::new(), Ms::LONG_AGO);
+    pub fn taken(wish: ViewingRequest, taken: Ms, rung: Rung, over_share: bool) -> Viewing {
+        let (phase, tune_ins, started) = (Phase::Over, Vec::new(), Ms::DISTANT_PAST);
         Viewing { wish, taken, phase, rung, started, tune_ins, over_share, look_at: taken, picks: Vec::new() }
     }
 
--- a/src/time.rs
+++ b/src/time.rs
@@ -27,7 +27,7 @@
 }
 
 impl Ms {
-    pub const LONG_AGO: Ms = Ms(f64::NEG_INFINITY);
+    pub const DISTANT_PAST: Ms = Ms(f64::NEG_INFINITY);
 }
 
 impl Add for Ms {
--- a/tests/history/inputs.rs
+++ b/tests/history/inputs.rs
@@ -1,8 +1,10 @@
 //! Terms of several kinds, and chance inputs for them.
 
-use ottersail::ids::{Cell, Kind, ManagerIx, PackageIx, Rung, TenantIx};
-use ottersail::state::{Availability, Entry, Load, Outcome, Wish};
-use ottersail::terms::{Budget, ColdPace, Group, Package, Repeat, Tenant, Terms};
+use ottersail::config::{
+    ColdStart, DedupScope, Package, PlacementConfig, RequestSemantics, ResendBudget, Tenant,
+};
+use ottersail::ids::{Cell, HardwareKind, ManagerIndex, PackageIndex, Rung, TenantIndex};
+use ottersail::state::{Availability, Load, Outcome, ServerEntry, ViewingRequest};
 use ottersail::time::Ms;
 
 /// xorshift (Marsaglia 2003, "Xorshift RNGs"), apart from the chance that the decisions draw.
@@ -20,14 +22,14 @@
     }
 }
 
-pub fn package(value: f64, repeat: Repeat) -> Package {
+pub fn package(value: f64, repeat: RequestSemantics) -> Package {
     let (join_target, floor, top) = (Ms(1000.0), Rung(0), Rung(3));
     Package {
         name: value.to_string(),
         value,
         join_target,
-        repeat,
-        scale: 1.0,
+        semantics: repeat,
+        rate_scale: 1.0,
         floor,
         top,
         seats: 0,
@@ -35,74 +37,85 @@
     }
 }
 
-pub fn terms() -> Terms {
+pub fn terms() -> PlacementConfig {
     let mut packages = vec![
-        package(1.0, Repeat::Idempotent),
-        package(3.0, Repeat::Deduplicated { group: Group::SameZone, window: Ms(900.0) }),
-        package(2.0, Repeat::AtMostOnce),
+        package(1.0, RequestSemantics::Idempotent),
+        package(3.0, RequestSemantics::Deduplicated { group: DedupScope::SameZone, window: Ms(900.0) }),
+        package(2.0, RequestSemantics::AtMostOnce),
     ];
-    (packages[1].floor, packages[1].scale, packages[2].seats) = (Rung(1), 1.5, 9);
+    (packages[1].floor, packages[1].rate_scale, packages[2].seats) = (Rung(1), 1.5, 9);
     let (lasts, fall_window) = (Ms(10_000.0), Ms(1000.0));
-    Terms {
-        me: ManagerIx(1),
-        managers: 3.0,
+    PlacementConfig {
+        manager: ManagerIndex(1),
+        manager_count: 3.0,
         zone: "z0".into(),
         packages,
         tenants: vec![Tenant { name: "t".into(), allowance_per_s: 2.0 }],
         ladder_kb: vec![1.0, 2.0, 4.0, 8.0],
-        worth: Vec::new(),
-        join: 1.0,
+        rung_values: Vec::new(),
+        live_join_share: 1.0,
         cells: 6,
         racks: 3,
         link_unit_kb: 60.0,
         uplink_kb: 200.0,
         uplinks_reported: true,
         reports_on_probe: false,
-        weights_told: true,
-        places: [(Kind::from("k"), 48.0), (Kind::from("large"), 96.0)].into(),
-        seen_after: Ms(300.0),
-        reports_every: Ms(1000.0),
+        weights_listed: true,
+        places_by_kind: [(HardwareKind::from("k"), 48.0), (HardwareKind::from("large"), 96.0)].into(),
+        report_delay: Ms(300.0),
+        report_interval: Ms(1000.0),
         change_cost: Ms(100.0),
         max_tune_ins: 3,
         max_stay_away: Some(Ms(1500.0)),
         must_subscribe: true,
-        cross_price: 0.05,
-        cold: ColdPace {
-            lasts,
+        cross_zone_price: 0.05,
+        cold: ColdStart {
+            warm_up: lasts,
             start_capacity: 0.5,
             fall_multiple: 4.0,
             fall_window,
-            arrives_within: Ms(0.0),
+            max_send_delay: Ms(0.0),
         },
-        budget: Some(Budget { free: 4.0, ratio: 0.4, span: Ms(3000.0) }),
+        budget: Some(ResendBudget { free_resends: 4.0, ratio: 0.4, window: Ms(3000.0) }),
         tick: Ms(10.0),
     }
 }
 
-pub fn unreported() -> Terms {
-    Terms { uplinks_reported: false, uplink_kb: 300.0, worth: vec![0.2, 0.5, 0.8, 1.0], ..terms() }
+pub fn unreported() -> PlacementConfig {
+    PlacementConfig {
+        uplinks_reported: false,
+        uplink_kb: 300.0,
+        rung_values: vec![0.2, 0.5, 0.8, 1.0],
+        ..terms()
+    }
 }
 
-pub fn probed() -> Terms {
-    Terms { reports_on_probe: true, weights_told: false, reports_every: Ms(0.0), ..unreported() }
+pub fn probed() -> PlacementConfig {
+    PlacementConfig {
+        reports_on_probe: true,
+        weights_listed: false,
+        report_interval: Ms(0.0),
+        ..unreported()
+    }
 }
 
-pub fn live() -> Terms {
-    let mut it = Terms { join: 0.25, budget: None, uplink_kb: 0.0, ..terms() };
+pub fn live() -> PlacementConfig {
+    let mut it = PlacementConfig { live_join_share: 0.25, budget: None, uplink_kb: 0.0, ..terms() };
     it.packages[0].live = true;
     it
 }
 
 /// A third of the list changes often, and servers that left are forgotten.
-pub fn many() -> Terms {
-    let mut it = Terms { managers: 40.0, max_stay_away: None, must_subscribe: false, ..unreported() };
-    it.cold.lasts = Ms(2000.0);
+pub fn many() -> PlacementConfig {
+    let mut it =
+        PlacementConfig { manager_count: 40.0, max_stay_away: None, must_subscribe: false, ..unreported() };
+    it.cold.warm_up = Ms(2000.0);
     it
 }
 
-pub fn entry(dice: &mut Dice, no: usize, now: Ms) -> Entry {
+pub fn entry(dice: &mut Dice, no: usize, now: Ms) -> ServerEntry {
     let restarted = dice.below(4) == 0;
-    Entry {
+    ServerEntry {
         kind: if no.is_multiple_of(4) { "large" } else { "k" }.into(),
         cell: Cell((no + usize::from(dice.below(30) == 0)) as u64),
         availability: [Availability::Up, Availability::Leaving, Availability::Gone]
@@ -114,17 +127,17 @@
     }
 }
 
-pub fn wish(dice: &mut Dice, no: usize, now: Ms) -> Wish {
-    Wish {
-        vw: format!("v{no}").as_str().into(),
-        package: PackageIx(dice.below(3)),
-        tenant: (dice.below(3) == 0).then_some(TenantIx(0)),
+pub fn wish(dice: &mut Dice, no: usize, now: Ms) -> ViewingRequest {
+    ViewingRequest {
+        viewing: format!("v{no}").as_str().into(),
+        package: PackageIndex(dice.below(3)),
+        tenant: (dice.below(3) == 0).then_some(TenantIndex(0)),
         title: format!("film{}", dice.below(5)).as_str().into(),
-        base: dice.below(6) as u64,
-        copies: 1 + dice.below(4) as u64,
-        best: Rung(dice.below(5)),
-        due: now + Ms(500.0 + 4000.0 * dice.part()),
-        lasts: (dice.below(2) == 0).then_some(Ms(30_000.0 * dice.part())),
+        first_cell: dice.below(6) as u64,
+        cell_count: 1 + dice.below(4) as u64,
+        max_rung: Rung(dice.below(5)),
+        deadline: now + Ms(500.0 + 4000.0 * dice.part()),
+        expected_duration: (dice.below(2) == 0).then_some(Ms(30_000.0 * dice.part())),
     }
 }
 
