--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -21,6 +21,6 @@
 pub use effects::*;
 pub use follower::Follower;
 pub use message::Message;
-pub use ottersail_membership::{Life, MemberId};
+pub use ottersail_membership::{InstanceId, MemberId};
 pub use proposer::Proposer;
 pub use types::*;
--- a/daemon/tests/errors.rs
+++ b/daemon/tests/errors.rs
@@ -4,7 +4,7 @@
 use ottersail_daemon::error::{ArgumentError, JudgeError, NodeError, ReplayError, RunError};
 use ottersail_daemon::rehearse::{RehearseError, UncleanExit};
 use ottersail_daemon::settings::error::{Problem, ProblemKind, SettingsError};
-use ottersail_membership::TermsError;
+use ottersail_membership::MembershipConfigError;
 use ottersail_rollout::{Name, OrderError, OrderNotPut, Serial};
 use std::io;
 use std::net::SocketAddr;
@@ -143,7 +143,7 @@
     table!(RunError:
         Keys { file: file(), cause: text(CAUSE) } => [FILE, "[manager] keys"], true;
         MemberKeys { file: file(), cause: text(CAUSE) } => [FILE, "[members] keys"], true;
-        Members { 0: TermsError::Name(text("a b")) } => ["[members]", "a b"], false;
+        Members { 0: MembershipConfigError::Name(text("a b")) } => ["[members]", "a b"], false;
         Datagrams { address: at(), cause: cause() } => ["127.0.0.9:8123", "[members] listen"], true;
         Record { file: file(), cause: cause() } => [FILE, "--record"], true;
         ParentDeathSignal { cause: cause() } => ["--with-parent"], true;
--- a/rollout/src/holder.rs
+++ b/rollout/src/holder.rs
@@ -7,7 +7,7 @@
 use crate::stand::{MemberStatus, ViewingCounts};
 use crate::wishes::Effects;
 use ottersail::time::Ms;
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 
 /// Periods between two stands while nothing changes.
 const STAND_EVERY: f64 = 2.0;
@@ -24,7 +24,7 @@
 
 #[derive(Clone, Debug)]
 pub struct PermitHolder {
-    me: (MemberId, Life),
+    me: (MemberId, InstanceId),
     born: Ms,
     version: Name,
     period: Ms,
@@ -40,11 +40,17 @@
 }
 
 impl PermitHolder {
-    pub fn born(now: Ms, me: (MemberId, Life), version: Name, period: Ms) -> PermitHolder {
+    pub fn born(now: Ms, me: (MemberId, InstanceId), version: Name, period: Ms) -> PermitHolder {
         PermitHolder::guarded(now, me, version, period, Guards::all())
     }
 
-    pub fn guarded(now: Ms, me: (MemberId, Life), version: Name, period: Ms, guards: Guards) -> PermitHolder {
+    pub fn guarded(
+        now: Ms,
+        me: (MemberId, InstanceId),
+        version: Name,
+        period: Ms,
+        guards: Guards,
+    ) -> PermitHolder {
         let (order, book, never, going) = (None, Default::default(), MemberTime(0), None);
         let (whole, counts) = (false, ViewingCounts::default());
         let tell_at = now;
--- a/rollout/src/lib.rs
+++ b/rollout/src/lib.rs
@@ -32,7 +32,7 @@
 pub use notes::Event;
 pub use order::{Bounds, HaltPolicy, Name, Order, OrderError, Scope, Serial, State, Step};
 pub use ottersail::time::Ms;
-pub use ottersail_membership::{Life, MemberId};
+pub use ottersail_membership::{InstanceId, MemberId};
 pub use refusal::Refusal;
 pub use seen::{Presence, RosterEntry};
 pub use serials::{answered, given, halted_by_evidence, Answered, Given, OrderNotPut};
--- a/rollout/src/turn.rs
+++ b/rollout/src/turn.rs
@@ -7,7 +7,7 @@
 use crate::seen::{RosterEntry, Sight};
 use crate::wishes::Effects;
 use ottersail::time::Ms;
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An odd number whose multiples fill all bits (the golden ratio's).
@@ -129,7 +129,7 @@
         book: &PermitTable,
         limit: usize,
         skip: &BTreeSet<MemberId>,
-    ) -> Option<(MemberId, Life, MemberTime)> {
+    ) -> Option<(MemberId, InstanceId, MemberTime)> {
         if book.permits.len() + self.through(now, order, book) >= limit {
             return None;
         }
