--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -10,13 +10,13 @@
 mod second;
 
 use crate::error::RunError;
-use crate::owner::Owner;
-use crate::run::member_keys;
-use crate::settings::manager::Manager;
+use crate::owner::PlacementOwner;
+use crate::run::load_member_keys;
+use crate::settings::manager::ManagerSettings;
 use async_channel::{Receiver, Sender};
 use book::Book;
 use council::{Council, Counsel};
-pub use door::MEMBER;
+pub use door::MEMBER_HEADER;
 use door::{Door, Doors, Knocks};
 use hands::Hands;
 use ottersail_membership::auth::{DatagramAuth, Opened};
@@ -69,7 +69,10 @@
 ///
 /// # Errors
 /// What the machine would not take.
-pub fn terms(manager: &Manager, life: InstanceId) -> Result<Option<MembershipConfig>, RunError> {
+pub fn member_terms(
+    manager: &ManagerSettings,
+    life: InstanceId,
+) -> Result<Option<MembershipConfig>, RunError> {
     let Some(told) = &manager.members else {
         return Ok(None);
     };
@@ -92,16 +95,17 @@
     pub fn start(
         exec: Executor,
         seed: u64,
-        manager: &Manager,
-        owner: &Rc<Owner>,
+        manager: &ManagerSettings,
+        owner: &Rc<PlacementOwner>,
     ) -> Result<Option<Rc<Fleet>>, RunError> {
         let life = InstanceId(unguessed());
-        let (Some(told), Some(terms)) = (&manager.members, terms(manager, life)?) else {
+        let (Some(told), Some(terms)) = (&manager.members, member_terms(manager, life)?) else {
             return Ok(None);
         };
         let address = SocketAddr::V4(told.listen);
-        let socket = Datagrams::bind(address).map_err(|why| RunError::Datagrams { address, why })?;
-        let gate = DatagramAuth::new(terms.local.id, life, &told.cluster, member_keys(told)?, unguessed());
+        let socket = Datagrams::bind(address).map_err(|cause| RunError::Datagrams { address, cause })?;
+        let gate =
+            DatagramAuth::new(terms.local.id, life, &told.cluster, load_member_keys(told)?, unguessed());
         let (id, name) = (terms.local.id, told.name.clone());
         let mut members = Members::new(ottersail::time::Ms(0.0), seed, terms);
         let door = Door::of(&manager.listen, told.advertise);
--- a/daemon/src/fleet/council/carry.rs
+++ b/daemon/src/fleet/council/carry.rs
@@ -2,12 +2,12 @@
 
 use super::{Council, Keeper, Outs};
 use crate::fleet::Fleet;
-use crate::owner::Owner;
+use crate::owner::PlacementOwner;
 use ottersail::time::Ms;
-use ottersail_front::tape::Told;
+use ottersail_front::recording::FrontInput;
 use ottersail_membership::{MemberId, Topic};
 use ottersail_net::Timer;
-use ottersail_rollout::{Counts, Name, Order};
+use ottersail_rollout::{Name, Order, ViewingCounts};
 use prometheus_client::registry::Registry;
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -21,7 +21,7 @@
 pub(in crate::fleet) struct Counsel {
     council: RefCell<Option<Council>>,
     keeper: Option<Keeper>,
-    owner: Weak<Owner>,
+    owner: Weak<PlacementOwner>,
     /// A permit is used: the version to come back with.
     out: (async_channel::Sender<Name>, async_channel::Receiver<Name>),
     armed: Cell<f64>,
@@ -29,7 +29,7 @@
 }
 
 impl Counsel {
-    pub fn new(born: Option<(Council, Option<Keeper>)>, owner: &Rc<Owner>) -> Counsel {
+    pub fn new(born: Option<(Council, Option<Keeper>)>, owner: &Rc<PlacementOwner>) -> Counsel {
         let (council, keeper) = born.map_or((None, None), |it| (Some(it.0), it.1));
         Counsel {
             council: RefCell::new(council),
@@ -56,9 +56,9 @@
     }
 
     /// A viewing was asked for here.
-    pub fn arrived(&self) {
+    pub fn viewing_requested(&self) {
         if let Some(council) = self.counsel.council.borrow().as_ref() {
-            council.arrived();
+            council.viewing_requested();
         }
     }
 
@@ -95,10 +95,10 @@
         let going = self.counsel.council.borrow().as_ref().and_then(|it| it.wants_out(self.now()));
         let (Some(going), Some(owner)) = (going, self.counsel.owner.upgrade()) else { return };
         // Told to end already: else a permit that ran out would have it take viewings again.
-        if owner.front(|it| it.is_draining()) {
+        if owner.with_front(|it| it.is_draining()) {
             return;
         }
-        owner.tell(&Told::Drain);
+        owner.handle(&FrontInput::Drain);
         let now = self.now();
         let in_time = |it: &mut Council| it.still_in_time(now, &going);
         if self.counsel.council.borrow_mut().as_mut().is_some_and(in_time) {
@@ -106,17 +106,17 @@
             _ = self.counsel.out.0.try_send(going.version);
         } else {
             warn!(target: "releases", "a permit ran out before it was used: viewings are taken again");
-            owner.tell(&Told::Resume);
+            owner.handle(&FrontInput::Resume);
         }
     }
 
     /// Comes back once this manager goes out by a permit, with the version to come back with.
-    pub async fn goes_out(&self) -> Option<Name> {
+    pub async fn departure(&self) -> Option<Name> {
         self.counsel.out.1.recv().await.ok()
     }
 
     /// An order of this manager's own file.
-    pub fn order(&self, order: Order) {
+    pub fn submit_order(&self, order: Order) {
         self.council(|it, _, _| it.order(order));
     }
 
@@ -124,9 +124,9 @@
     fn stands(&self, council: &mut Council, now: Ms) {
         let Some(owner) = self.counsel.owner.upgrade() else { return };
         let clock = ottersail_front::Ms(owner.clock.now());
-        let (whole, it) = owner.front(|it| (it.whole(clock), it.counts()));
-        let (set_ups, set_up_ms) = owner.set_ups();
-        let counts = Counts {
+        let (whole, it) = owner.with_front(|it| (it.is_ready(clock), it.counts()));
+        let (set_ups, set_up_ms) = owner.set_up_totals();
+        let counts = ViewingCounts {
             // Whoever is not even taken is blocked to its viewer.
             asked: it.asked + it.turned_away_untaken,
             blocked: it.blocked + it.turned_away_untaken,
@@ -168,10 +168,10 @@
         }
         if let Some(mut part) = part {
             if let (Some(owner), Some(ahead)) = (self.counsel.owner.upgrade(), self.ahead()) {
-                if part.until > 0.0 {
-                    part.until += ahead;
+                if part.lease_end_ms > 0.0 {
+                    part.lease_end_ms += ahead;
                 }
-                owner.tell(&Told::Part { part });
+                owner.handle(&FrontInput::SlotShareChanged { share: part });
             }
         }
         Some(shrunk)
--- a/daemon/src/settings/values.rs
+++ b/daemon/src/settings/values.rs
@@ -1,11 +1,11 @@
 //! Values of an orders' file: names, parts, steps, zones. What can't be read is complained of.
 
-use super::sheet::Section;
-use ottersail_rollout::{Name, Step, Who};
+use super::ini_file::Section;
+use ottersail_rollout::{Name, Scope, Step};
 use std::collections::BTreeMap;
 
 pub(super) const NAMES: &str = "1 to 32 of a-z, A-Z, 0-9, ., _ and -";
-/// What `Who::Named` takes.
+/// What `Scope::Named` takes.
 const MOST_NAMED: usize = 8;
 const WHOLE: u16 = 1_000;
 
@@ -27,7 +27,7 @@
     let Some(text) = it.get(key) else { return absent };
     part(text, of).unwrap_or_else(|| {
         let least = percent(1, of);
-        it.complain(key, format!("expected a part like 5%, in steps of {least}, read {text:?}"));
+        it.add_problem(key, format!("expected a part like 5%, in steps of {least}, read {text:?}"));
         absent
     })
 }
@@ -37,7 +37,7 @@
     Name::new(&text).unwrap_or_else(|| {
         // That it is missing has been told.
         if !text.is_empty() {
-            it.complain(key, format!("expected {NAMES}, read {text:?}"));
+            it.add_problem(key, format!("expected {NAMES}, read {text:?}"));
         }
         Name::default()
     })
@@ -52,41 +52,41 @@
     let named = |text: &str| {
         let name = Name::new(text);
         if name.is_none() {
-            it.complain(key, format!("expected names of {NAMES}, read {text:?}"));
+            it.add_problem(key, format!("expected names of {NAMES}, read {text:?}"));
         }
         name
     };
     let mut all: Vec<Name> = listed(text).filter_map(named).collect();
     all.sort();
     if let Some(two) = all.windows(2).find(|it| it[0] == it[1]) {
-        it.complain(key, format!("{} is there twice; take one out", two[0]));
+        it.add_problem(key, format!("{} is there twice; take one out", two[0]));
     }
     all
 }
 
-pub(super) fn who(it: &Section) -> Who {
+pub(super) fn who(it: &Section) -> Scope {
     let text = it.text("who");
     let (kind, rest) = text.split_once(char::is_whitespace).unwrap_or((&text, ""));
     let who = match (kind, rest.trim()) {
-        ("all", "") => Some(Who::All),
-        ("zone", zone) => Name::new(zone).map(Who::Zone),
-        ("part", text) => part(text, WHOLE).map(Who::Part),
+        ("all", "") => Some(Scope::All),
+        ("zone", zone) => Name::new(zone).map(Scope::Zone),
+        ("part", text) => part(text, WHOLE).map(Scope::PerMille),
         ("name", text) if !text.is_empty() => {
             let names = names(it, "who", text);
             if names.len() > MOST_NAMED {
                 let rule = format!("{} names; {MOST_NAMED} are the most, take some out", names.len());
-                it.complain("who", rule);
+                it.add_problem("who", rule);
             }
-            Some(Who::Named(names))
+            Some(Scope::Named(names))
         }
         _ => None,
     };
     who.unwrap_or_else(|| {
         if !text.is_empty() {
             let rule = format!("expected all, zone NAME, name A, B or part 10%, read {text:?}");
-            it.complain("who", rule);
+            it.add_problem("who", rule);
         }
-        Who::All
+        Scope::All
     })
 }
 
@@ -95,22 +95,22 @@
     let step = |text: &str| {
         let step = match text {
             "one" => Some(Step::Count(1)),
-            "all" => Some(Step::Part(WHOLE)),
-            _ if text.ends_with('%') => part(text, WHOLE).map(Step::Part),
+            "all" => Some(Step::PerMille(WHOLE)),
+            _ if text.ends_with('%') => part(text, WHOLE).map(Step::PerMille),
             _ => text.parse().ok().filter(|it| *it > 0).map(Step::Count),
         };
         if step.is_none() {
-            it.complain("steps", format!("expected one, a number, a part like 5%, or all, read {text:?}"));
+            it.add_problem("steps", format!("expected one, a number, a part like 5%, or all, read {text:?}"));
         }
         step
     };
     let all: Vec<Step> = listed(&text).filter_map(step).collect();
     let falls = |two: &[Step]| match (two[0], two[1]) {
-        (Step::Count(a), Step::Count(b)) | (Step::Part(a), Step::Part(b)) => a >= b,
+        (Step::Count(a), Step::Count(b)) | (Step::PerMille(a), Step::PerMille(b)) => a >= b,
         _ => false,
     };
     if all.windows(2).any(falls) {
-        it.complain("steps", format!("must grow from step to step, read {text:?}"));
+        it.add_problem("steps", format!("must grow from step to step, read {text:?}"));
     }
     all
 }
@@ -126,11 +126,11 @@
         };
         let Some((name, bounds)) = zone else {
             let rule = "expected zones like east 20 2 (name, how many belong to it, most out)";
-            it.complain("zones", format!("{rule}, read {text:?}"));
+            it.add_problem("zones", format!("{rule}, read {text:?}"));
             continue;
         };
         if zones.insert(name.clone(), bounds).is_some() {
-            it.complain("zones", format!("{name} is there twice; take one out"));
+            it.add_problem("zones", format!("{name} is there twice; take one out"));
         }
     }
     zones
--- a/leases/src/ids.rs
+++ b/leases/src/ids.rs
@@ -44,7 +44,7 @@
 pub struct Timestamp(pub Ms);
 
 impl Timestamp {
-    pub const NEVER: Timestamp = Timestamp(Ms::LONG_AGO);
+    pub const NEVER: Timestamp = Timestamp(Ms::DISTANT_PAST);
 }
 
 impl Hash for Timestamp {
--- a/membership/src/apply.rs
+++ b/membership/src/apply.rs
@@ -97,7 +97,7 @@
         peer.view.site.clone_from(&info.site);
         if other_instance {
             peer.view.piggybacks.clear();
-            (peer.last_ack, peer.last_heard) = (Ms::LONG_AGO, Ms::LONG_AGO);
+            (peer.last_ack, peer.last_heard) = (Ms::DISTANT_PAST, Ms::DISTANT_PAST);
         }
         self.queue_update(update.clone());
         let reason = if other_instance { StateChangeReason::Joined } else { StateChangeReason::Refuted };
--- a/membership/src/members.rs
+++ b/membership/src/members.rs
@@ -69,7 +69,7 @@
             rumours: BTreeMap::new(),
             own_piggybacks: BTreeMap::new(),
             health: 0,
-            last_datagram_at: Ms::LONG_AGO,
+            last_datagram_at: Ms::DISTANT_PAST,
             ack_timeout: config.probe_period * 0.05,
             next_period: now,
             next_gossip: now,
--- a/membership/src/peer.rs
+++ b/membership/src/peer.rs
@@ -42,7 +42,7 @@
             piggybacks: BTreeMap::new(),
             since: now,
         };
-        Peer { view, suspicion: None, last_ack: Ms::LONG_AGO, last_heard: Ms::LONG_AGO }
+        Peer { view, suspicion: None, last_ack: Ms::DISTANT_PAST, last_heard: Ms::DISTANT_PAST }
     }
 
     pub fn info(&self) -> MemberInfo {
