--- a/leases/src/bucket.rs
+++ b/leases/src/bucket.rs
@@ -1,17 +1,18 @@
-//! The body of a `Key::Slots(b)` value: who holds each of up to 24 slots, and how that is changed.
+//! The body of a `Key::Slots(b)` register: who holds each of up to 24 slots, and how that changes.
 
+use crate::error::LeaseError;
 use crate::ids::{BucketId, Epoch, InstanceId, MemberId};
-use crate::trouble::LeaseError;
 use serde::{Deserialize, Serialize};
 
-/// Slots of one register. Each takes 22 bytes at most, 24 of them 530 with the version; 32 would be 706, more
-/// than the council takes, whose promises carry every councillor's memory beside a body.
+/// Slots of one register. Each takes 22 bytes at most, so 24 take 530 with the version. 32 would take 706, more than
+/// the council's limit: its promises carry the state of every councillor besides a body.
 pub const SLOTS_PER_BUCKET: usize = 24;
-/// The council's limit on a body.
-pub const MOST_BYTES: usize = 600;
+/// The council's limit on the bytes of a body.
+pub const MAX_BODY_BYTES: usize = 600;
+/// The version of the encoding, in the first byte.
 const VERSION: u8 = 1;
 
-/// One slot: who holds it, if anybody, since which change.
+/// One slot: its holder, if there is one, and the number of its last change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SlotEntry {
     pub epoch: Epoch,
@@ -19,82 +20,95 @@
 }
 
 impl SlotEntry {
-    fn now(&mut self, held: Option<(MemberId, InstanceId)>) {
+    fn reassign(&mut self, held: Option<(MemberId, InstanceId)>) {
         *self = SlotEntry { epoch: Epoch(self.epoch.0 + 1), held };
     }
 }
 
-/// All seats of one bucket. Each change of a seat raises its epoch by one: a chain that a councillor can check.
+/// All slots of one bucket. Each change of a slot raises its epoch by one, so that a councillor can check that no change
+/// is missing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Bucket(Vec<SlotEntry>);
 
 impl Bucket {
-    /// With so many free seats that nobody has held.
-    pub fn empty(seats: usize) -> Bucket {
-        Bucket(vec![SlotEntry::default(); seats.min(SLOTS_PER_BUCKET)])
+    /// A bucket of free slots that nobody has held.
+    pub fn empty(slots: usize) -> Bucket {
+        Bucket(vec![SlotEntry::default(); slots.min(SLOTS_PER_BUCKET)])
     }
 
-    /// Reads a register's body; none at all is a bucket that nobody wrote yet.
+    /// Decodes a register's body; an empty body is a bucket that nobody has written yet.
     ///
     /// # Errors
-    /// [`LeaseError::Body`] if it is cut, of another version or of another size than the settings say.
-    pub fn decode(no: BucketId, seats: usize, body: &[u8]) -> Result<Bucket, LeaseError> {
-        let bad = |what: &'static str| LeaseError::Body { bucket: no.0, bytes: body.len(), what };
+    /// [`LeaseError::Body`] if it is truncated, of another version or of another size than the settings say.
+    pub fn decode(id: BucketId, slots: usize, body: &[u8]) -> Result<Bucket, LeaseError> {
+        let invalid = |what: &'static str| LeaseError::Body { bucket: id.0, bytes: body.len(), what };
         match body.split_first() {
-            None => Ok(Bucket::empty(seats)),
+            None => Ok(Bucket::empty(slots)),
             Some((&VERSION, rest)) => {
-                let it: Bucket = postcard::from_bytes(rest).map_err(|_| bad("cannot be read as slots"))?;
-                Some(it).filter(|it| it.0.len() == seats).ok_or(bad("has another count of slots than D says"))
+                let bucket: Bucket =
+                    postcard::from_bytes(rest).map_err(|_| invalid("can't be decoded as slots"))?;
+                Some(bucket)
+                    .filter(|bucket| bucket.0.len() == slots)
+                    .ok_or(invalid("has another number of slots than D says"))
             }
-            Some(_) => Err(bad("is of a version that this program does not know")),
+            Some(_) => Err(invalid("is of a version that this program does not support")),
         }
     }
 
-    /// The body, 600 bytes at most.
+    /// Encodes the body, 600 bytes at most.
     ///
     /// # Errors
-    /// [`LeaseError::Written`] if it cannot be put in 600 bytes.
+    /// [`LeaseError::TooLong`] if it does not fit 600 bytes.
     pub fn encode(&self) -> Result<Vec<u8>, LeaseError> {
-        let rest = postcard::to_allocvec(self).map_err(|_| LeaseError::Written { bytes: 0 })?;
+        let rest = postcard::to_allocvec(self).map_err(|_| LeaseError::TooLong { bytes: 0 })?;
         let body: Vec<u8> = std::iter::once(VERSION).chain(rest).collect();
         match body.len() {
-            bytes if bytes > MOST_BYTES => Err(LeaseError::Written { bytes }),
+            bytes if bytes > MAX_BODY_BYTES => Err(LeaseError::TooLong { bytes }),
             _ => Ok(body),
         }
     }
 
+    /// All slots, each with its index in the bucket.
     pub fn entries(&self) -> impl Iterator<Item = (usize, &SlotEntry)> {
         self.0.iter().enumerate()
     }
 
-    /// A seat past the end is one that nobody has held.
-    pub fn entry(&self, seat: usize) -> SlotEntry {
-        self.0.get(seat).copied().unwrap_or_default()
+    /// The slot of this index; one past the end has never been held.
+    pub fn entry(&self, index: usize) -> SlotEntry {
+        self.0.get(index).copied().unwrap_or_default()
     }
 
+    /// The number of free slots.
     pub fn free(&self) -> usize {
-        self.0.iter().filter(|it| it.held.is_none()).count()
+        self.0.iter().filter(|entry| entry.held.is_none()).count()
     }
 
-    /// Gives up to k free seats to that member, the lowest first.
-    pub fn acquire(&self, k: usize, who: (MemberId, InstanceId)) -> Bucket {
-        self.but(self.0.iter().enumerate().filter(|it| it.1.held.is_none()).map(|it| it.0).take(k), Some(who))
+    /// Assigns up to `count` free slots to the member, the lowest first.
+    pub fn acquire(&self, count: usize, holder: (MemberId, InstanceId)) -> Bucket {
+        let free = self.entries().filter(|(_, entry)| entry.held.is_none()).map(|(index, _)| index);
+        self.reassigned(free.take(count), Some(holder))
     }
 
-    /// Frees those of the seats that this member holds.
-    pub fn release(&self, seats: &[usize], who: (MemberId, InstanceId)) -> Bucket {
-        self.but(seats.iter().copied().filter(|it| self.entry(*it).held == Some(who)), None)
+    /// Frees those of the slots that the member holds.
+    pub fn release(&self, indices: &[usize], holder: (MemberId, InstanceId)) -> Bucket {
+        let own = indices.iter().copied().filter(|index| self.entry(*index).held == Some(holder));
+        self.reassigned(own, None)
     }
 
-    /// Frees up to k seats whose holder is gone; a councillor lets it pass once their leases have run out.
-    pub fn expire(&self, k: usize, gone: impl Fn(MemberId, InstanceId) -> bool) -> Bucket {
-        let lapsed = |it: &(usize, &SlotEntry)| it.1.held.is_some_and(|(id, instance)| gone(id, instance));
-        self.but(self.0.iter().enumerate().filter(lapsed).map(|it| it.0).take(k), None)
+    /// Frees up to `count` slots whose holder is gone. A councillor accepts this once their leases have expired.
+    pub fn expire(&self, count: usize, gone: impl Fn(MemberId, InstanceId) -> bool) -> Bucket {
+        let abandoned = |entry: &SlotEntry| entry.held.is_some_and(|(id, instance)| gone(id, instance));
+        let indices = self.entries().filter(|(_, entry)| abandoned(entry)).map(|(index, _)| index);
+        self.reassigned(indices.take(count), None)
     }
 
-    fn but(&self, seats: impl Iterator<Item = usize>, held: Option<(MemberId, InstanceId)>) -> Bucket {
+    fn reassigned(
+        &self,
+        indices: impl Iterator<Item = usize>,
+        held: Option<(MemberId, InstanceId)>,
+    ) -> Bucket {
         let mut bucket = self.clone();
-        seats.for_each(|it| bucket.0[it].now(held));
+        indices.for_each(|index| bucket.0[index].reassign(held));
         bucket
     }
 }
--- a/leases/src/terms.rs
+++ b/leases/src/config.rs
@@ -1,24 +1,28 @@
-//! What a fleet agrees on before it starts. Integers, so that every state can be compared and hashed.
+//! Settings that all members agree on before they start. They are integers, so that states can be compared and
+//! hashed.
 
 use crate::bucket::SLOTS_PER_BUCKET;
 use crate::guards::Guards;
 use crate::ids::{BucketId, MemberId};
 use ottersail::time::Ms;
 
+/// Settings of leases.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseConfig {
-    /// Slots that the whole is cut into (D); the register's `Head` fixes it at the founding.
+    /// Slots in all (D). The register's `Head` fixes the number when the council is founded.
     pub slots: u16,
-    /// L, the length of a lease in milliseconds.
+    /// The length of a lease (L) in milliseconds.
     pub lease_ms: u32,
-    /// The most that a clock runs fast or slow, in millionths.
+    /// How much a clock may run fast or slow, in parts per million.
     pub drift_ppm: u32,
-    /// The councillors, in order; 7 at most are counted.
+    /// The councillors, in an order that all members share; 7 at most count.
     pub councillors: Vec<MemberId>,
+    /// The safety rules, each of which a test can switch off.
     pub guards: Guards,
 }
 
 impl LeaseConfig {
+    /// The length of a lease.
     pub fn lease(&self) -> Ms {
         Ms(f64::from(self.lease_ms))
     }
@@ -31,20 +35,24 @@
         }
     }
 
-    /// How long a holder counts on a renewal, from when it sent the request.
+    /// How long a holder counts on a renewal, from when it sent the request. Shorter than the lease by the margin for
+    /// clock drift.
     pub fn holder_lease(&self) -> Ms {
         self.lease() * (1.0 - 2.0 * self.drift())
     }
 
-    /// How long a councillor lets nobody else have a slot, from when it granted the renewal.
+    /// How long a councillor keeps a slot from others, from when it granted the renewal. Longer than the lease by the
+    /// margin for clock drift.
     pub fn councillor_lease(&self) -> Ms {
         self.lease() * (1.0 + 2.0 * self.drift())
     }
 
+    /// The interval between renewals.
     pub fn renew_every(&self) -> Ms {
         self.lease() * 0.25
     }
 
+    /// The number of councillors that form a majority.
     pub fn majority(&self) -> u32 {
         if self.guards.majority() {
             self.councillors.len() as u32 / 2 + 1
@@ -53,11 +61,12 @@
         }
     }
 
+    /// All buckets.
     pub fn buckets(&self) -> impl Iterator<Item = BucketId> {
-        (0..usize::from(self.slots).div_ceil(SLOTS_PER_BUCKET).min(256)).map(|it| BucketId(it as u8))
+        (0..usize::from(self.slots).div_ceil(SLOTS_PER_BUCKET).min(256)).map(|number| BucketId(number as u8))
     }
 
-    /// Seats of that bucket; the last one may be short.
+    /// The number of slots of this bucket; the last one may have fewer.
     pub fn slots_in(&self, bucket: BucketId) -> usize {
         usize::from(self.slots).saturating_sub(usize::from(bucket.0) * SLOTS_PER_BUCKET).min(SLOTS_PER_BUCKET)
     }
--- a/leases/src/trouble.rs
+++ b/leases/src/error.rs
@@ -1,6 +1,6 @@
-//! What can be wrong with what others wrote.
+//! Errors of encoded registers and messages.
 
-/// Each says what is wrong, where, and what an operator can try.
+/// An encoding or decoding error. Each message says what is wrong, where, and what an operator can do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LeaseError {
     #[error(
@@ -9,12 +9,12 @@
     )]
     Body { bucket: u8, bytes: usize, what: &'static str },
     #[error(
-        "slots or needs of {bytes} bytes do not fit what a register or a rider takes, 600 and 64 bytes: \
-         report this with the settings `slots` and `council`; until it is mended the part is not changed"
+        "slots or demand of {bytes} bytes do not fit a register or a piggybacked payload, 600 and 64 bytes: \
+         report this with the settings `slots` and `council`; until it is fixed the slot share does not change"
     )]
-    Written { bytes: usize },
+    TooLong { bytes: usize },
     #[error(
-        "a member's rider on what it needs, {bytes} bytes, cannot be read: see in the roster which version that \
+        "a member's demand, {bytes} bytes, can't be decoded: see in the list of members which version that \
          member runs, and bring it to this one's"
     )]
     Demand { bytes: usize },
--- a/leases/src/notes.rs
+++ b/leases/src/events.rs
@@ -1,29 +1,30 @@
-//! What happened, for metrics. Counters are kept outside of the machines, so that they are no part of a state.
+//! Events for metrics. Counters are kept outside the state machines, so that they are not part of their state.
 
-/// One thing that happened, with how many slots or messages where that counts.
+/// One event at a holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LeaseEvent {
-    /// A page of renewals went out to a councillor, so many bytes.
+    /// A page of renewal requests was sent to a councillor; the bytes of the message.
     RenewalSent { bytes: usize },
-    /// A slot was taken up from the register; it counts once a majority has renewed it.
+    /// The register assigned a slot to this member; it counts once a majority has renewed it.
     Acquired,
-    /// A slot was given back by own will.
+    /// A slot was given back voluntarily.
     Released,
-    /// A slot was found given to another, or a majority refused its renewal.
+    /// A slot was found assigned to another member, or a majority refused its renewal.
     Lost,
     /// A proposal was sent to the council.
     Proposed,
-    /// Another changed the register in between.
+    /// Another member changed the register in between.
     Conflict,
-    /// A councillor's guard, or the lack of a majority, kept the change out.
+    /// A guard of the councillors rejected the change, or no majority answered.
     Refused,
     /// No answer to a proposal within half a lease.
     Unanswered,
 }
 
-/// Sums since the start.
+/// Totals since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
+    /// Pages of renewal requests that were sent, and their bytes.
     pub asked: u64,
     pub asked_bytes: u64,
     pub acquired: u64,
@@ -36,8 +37,9 @@
 }
 
 impl Counters {
-    pub fn count(&mut self, note: LeaseEvent) {
-        let counter = match note {
+    /// Counts an event.
+    pub fn count(&mut self, event: LeaseEvent) {
+        let counter = match event {
             LeaseEvent::RenewalSent { bytes } => {
                 self.asked_bytes += bytes as u64;
                 &mut self.asked
--- a/leases/src/guards.rs
+++ b/leases/src/guards.rs
@@ -1,15 +1,15 @@
-//! What keeps a slot with one holder, each part with a switch for the tests that take it out.
+//! The rules that keep a slot with one holder. Each can be switched off by tests that show that it is needed.
 
 macro_rules! guards {
     ($($(#[$doc:meta])* $guard:ident),* $(,)?) => {
-        /// True: the guard stands. Without the feature `sabotage` all of them always do.
+        /// True: the guard is in force. Without the feature `sabotage` all guards always are.
         #[cfg(any(test, feature = "sabotage"))]
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct Guards {
             $($(#[$doc])* pub $guard: bool,)*
         }
 
-        /// All guards stand.
+        /// The guards, all of which are always in force.
         #[cfg(not(any(test, feature = "sabotage")))]
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct Guards;
@@ -35,20 +35,22 @@
 }
 
 guards!(
-    /// A councillor gives no slot to another while its lease may run. Against: two holders when one is cut off.
+    /// A councillor assigns no slot to another member while its lease may run. Prevents two holders when one is cut off.
     leases,
-    /// After its own start a councillor gives away nothing for a lease. Against: forgotten renewals.
+    /// For a lease after its own start, a councillor reassigns no slot. Prevents harm from forgotten renewals.
     quarantine,
-    /// No renewal of an epoch older than what was accepted. Against: an old holder that goes on after a change.
+    /// A renewal of an epoch older than the accepted one is refused. Prevents an earlier holder from continuing after a
+    /// change.
     stale,
-    /// A lease counts from when its renewal was sent. Against: an answer that was long under way.
+    /// A lease counts from when its renewal was requested. Prevents harm from an answer that was delayed.
     send_time,
-    /// A lease needs a majority's renewals. Against: two holders, each with grants of a few.
+    /// A lease needs renewals from a majority. Prevents two holders that each have grants of a few councillors.
     majority,
-    /// Both sides allow for clocks that run apart. Against: a holder whose clock is slow.
+    /// Both sides allow for clock drift. Prevents harm from a holder whose clock is slow.
     margins,
-    /// A slot is given back only once it is no longer used. Against: a set-up begun on the larger part.
+    /// A slot is given back only once it is no longer used. Prevents a set-up that was begun on the larger share from
+    /// continuing without its slot.
     stop_first,
-    /// Every look compares `until` with now. Against: a process that stood still past its lease.
+    /// Every query compares `until` with the current time. Prevents harm from a process that was paused past its lease.
     until,
 );
--- a/leases/src/holder.rs
+++ b/leases/src/holder.rs
@@ -1,22 +1,24 @@
-//! A member's side: which slots it holds, until when it may count on them, and how it comes to hold more or less.
+//! The lease holder's side: which slots a member holds, until when it may count on them, and how it comes to
+//! hold more or fewer.
 
 use crate::bucket::Bucket;
+use crate::config::LeaseConfig;
+use crate::effects::Effects;
+use crate::events::LeaseEvent;
 use crate::ids::{BucketId, Epoch, InstanceId, MemberId, Slot, Timestamp};
-use crate::messages::{Renewed, PAGE};
-use crate::notes::LeaseEvent;
-use crate::terms::LeaseConfig;
-use crate::trouble::LeaseError;
-use crate::wishes::Effects;
+use crate::messages::{Renewed, SLOTS_PER_PAGE};
 use ottersail::time::Ms;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 mod change;
-mod lease;
+mod register;
+mod renewal;
 
-/// An odd number whose multiples fill all bits (the golden ratio's).
-const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
+/// The golden ratio in 64 bits: an odd number whose multiples differ in all bits.
+const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What a member may act on: `slots` of `of`, until that time of its own clock and not a moment longer.
+/// The slots that a member may act on: `slots` of `total`, up to but not including the time `until` of its own
+/// clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SlotShare {
     pub slots: u16,
@@ -24,220 +26,184 @@
     pub until: Timestamp,
 }
 
-/// What the council says to a reading or a proposal.
+/// The council's answer to a read or a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// What was read, or what was proposed and chosen.
+    /// The value that was read, or that was proposed and chosen.
     Chosen { revision: u64, body: Vec<u8> },
-    /// Another change came first; this is what stands.
+    /// Another change was chosen first; this is the current value.
     Conflict { revision: u64, body: Vec<u8> },
-    /// Councillors' guards kept it out, or no majority answered.
+    /// The guards of the councillors rejected the proposal, or no majority answered.
     Refused,
 }
 
+/// A slot that the register assigns to this member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Mine {
+struct OwnSlot {
     epoch: Epoch,
+    /// The end of its lease.
     until: Timestamp,
-    /// Councillors, by their place in the terms, whose last word was no.
+    /// A bit for each councillor, by its position in the configuration, whose last answer was a refusal.
     refused: u8,
-    /// Not counted any more, and not given back yet.
+    /// No longer counted, and not yet given back.
     stopping: bool,
 }
 
-/// One page of renewals under way.
+/// One page of renewal requests that is under way.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Round {
+struct RenewalRound {
     number: u32,
     sent: Timestamp,
-    /// Epoch and councillors that granted, for each slot.
+    /// For each slot its epoch, and a bit for each councillor that granted the renewal.
     slots: BTreeMap<Slot, (Epoch, u8)>,
 }
 
+/// The last known value of a bucket's register.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct Book {
+struct KnownBucket {
     revision: u64,
     bucket: Bucket,
-    /// A guard kept the last change out; it is let be until then.
-    shut_until: Timestamp,
+    /// A guard rejected the last change; no change is tried before this time.
+    retry_after: Timestamp,
 }
 
+/// The state machine of one member that holds leases.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Holder {
-    me: (MemberId, InstanceId),
-    terms: LeaseConfig,
-    new: Timestamp,
-    slots: BTreeMap<Slot, Mine>,
-    /// Given back under that epoch; never taken up again under it, and proposed until the register says so.
-    let_go: BTreeMap<Slot, Epoch>,
-    books: BTreeMap<BucketId, Book>,
-    rounds: VecDeque<Round>,
-    number: u32,
-    renew_at: Timestamp,
+    own_id: (MemberId, InstanceId),
+    config: LeaseConfig,
+    started: Timestamp,
+    slots: BTreeMap<Slot, OwnSlot>,
+    /// Slots that were given up, with the epoch at that time. They are never taken up again under that epoch,
+    /// and their release is proposed until the register shows it.
+    released: BTreeMap<Slot, Epoch>,
+    known: BTreeMap<BucketId, KnownBucket>,
+    rounds: VecDeque<RenewalRound>,
+    last_round: u32,
+    next_renewal: Timestamp,
     /// The bucket that the council was last asked about, and when.
-    asked: Option<(BucketId, Timestamp)>,
-    act_at: Timestamp,
-    /// What was asked is a further look where all was full.
-    looked: bool,
-    tries: u32,
-    wanted: u16,
-    /// This member ends: nothing is taken up any more.
+    pending: Option<(BucketId, Timestamp)>,
+    next_action: Timestamp,
+    /// The pending read is of a bucket that was known, since no known bucket had a slot to take.
+    rereading: bool,
+    retries: u32,
+    target: u16,
+    /// This member shuts down: it takes up no more slots.
     leaving: bool,
     alive: BTreeMap<MemberId, InstanceId>,
-    chance: u64,
+    random_state: u64,
 }
 
 impl Holder {
-    pub fn new(now: Ms, seed: u64, me: (MemberId, InstanceId), terms: LeaseConfig) -> Holder {
+    /// A holder that starts now and holds nothing.
+    pub fn new(now: Ms, seed: u64, own_id: (MemberId, InstanceId), config: LeaseConfig) -> Holder {
         Holder {
-            me,
-            terms,
-            new: Timestamp(now),
+            own_id,
+            config,
+            started: Timestamp(now),
             slots: BTreeMap::new(),
-            let_go: BTreeMap::new(),
-            books: BTreeMap::new(),
+            released: BTreeMap::new(),
+            known: BTreeMap::new(),
             rounds: VecDeque::new(),
-            number: 0,
-            renew_at: Timestamp(now),
-            asked: None,
-            act_at: Timestamp(now),
-            looked: false,
-            tries: 0,
-            wanted: 0,
+            last_round: 0,
+            next_renewal: Timestamp(now),
+            pending: None,
+            next_action: Timestamp(now),
+            rereading: false,
+            retries: 0,
+            target: 0,
             leaving: false,
             alive: BTreeMap::new(),
-            // Members that were given seeds in a row must not all turn to the same register.
-            chance: seed ^ me.0 .0.wrapping_add(me.1 .0).wrapping_mul(SPREAD) | 1,
+            // The ids are mixed in, so that members with consecutive seeds do not all choose the same register.
+            random_state: seed ^ own_id.0 .0.wrapping_add(own_id.1 .0).wrapping_mul(HASH_MULTIPLIER) | 1,
         }
     }
 
-    /// What may be acted on at this moment. To be asked again at each write that rests on it: after a stop of
-    /// the process past `until` the first look says none.
+    /// What the member may act on at this moment. It has to be asked again at each write that depends on it: if
+    /// the process was paused past `until`, the first call after the pause returns `None`.
     pub fn current_share(&self, now: Ms) -> Option<SlotShare> {
-        let counted = || self.slots.values().filter(|it| self.counts(now, it)).map(|it| it.until);
+        let counted = || self.slots.values().filter(|own| self.counts(now, own)).map(|own| own.until);
         let until = counted().min()?;
-        Some(SlotShare { slots: counted().count() as u16, total: self.terms.slots, until })
+        Some(SlotShare { slots: counted().count() as u16, total: self.config.slots, until })
     }
 
-    /// Whether that slot is one of those behind [`Holder::current_share`], for tests and an operator's pages.
+    /// Whether this slot is part of [`Holder::current_share`], for tests and status pages.
     pub fn holds_slot(&self, now: Ms, slot: Slot) -> bool {
-        self.slots.get(&slot).is_some_and(|it| self.counts(now, it))
+        self.slots.get(&slot).is_some_and(|own| self.counts(now, own))
     }
 
-    /// The slots behind [`Holder::current_share`]; members who take turns take them by these.
+    /// The slots of [`Holder::current_share`], by which members decide whose turn it is.
     pub fn slots(&self, now: Ms) -> impl Iterator<Item = Slot> + '_ {
-        self.slots.iter().filter(move |it| self.counts(now, it.1)).map(|it| *it.0)
+        self.slots.iter().filter(move |(_, own)| self.counts(now, own)).map(|(slot, _)| *slot)
     }
 
-    fn counts(&self, now: Ms, mine: &Mine) -> bool {
-        let in_time = if self.terms.guards.until() {
-            Timestamp(now) < mine.until
+    fn counts(&self, now: Ms, own: &OwnSlot) -> bool {
+        let in_time = if self.config.guards.until() {
+            Timestamp(now) < own.until
         } else {
-            mine.until > Timestamp::NEVER
+            own.until > Timestamp::NEVER
         };
-        in_time && !(mine.stopping && self.terms.guards.stop_first())
+        in_time && !(own.stopping && self.config.guards.stop_first())
     }
 
-    /// Slots in this member's name that it does not mean to give back, leased at this moment or not.
+    /// The number of slots assigned to this member that it does not mean to give back, whether their leases run
+    /// or not.
     pub fn retained_slots(&self) -> u16 {
-        self.slots.values().filter(|it| !it.stopping).count() as u16
+        self.slots.values().filter(|own| !own.stopping).count() as u16
     }
 
-    /// How many slots to hold from now on; [`crate::SlotBalancer::next_target`] says it.
-    pub fn set_target(&mut self, now: Ms, wanted: u16, out: &mut dyn Effects) {
-        self.wanted = if self.leaving { 0 } else { wanted.min(self.terms.slots) };
-        self.handle_deadline(now, out);
+    /// Sets how many slots to hold from now on, as [`crate::SlotBalancer::next_target`] computes it.
+    pub fn set_target(&mut self, now: Ms, target: u16, effects: &mut dyn Effects) {
+        self.target = if self.leaving { 0 } else { target.min(self.config.slots) };
+        self.handle_deadline(now, effects);
     }
 
-    /// Who lives, and which instance: slots of others are free to be asked for once their leases have run out.
+    /// Sets which members are alive, and with which instance: slots of all others may be taken over once their
+    /// leases have expired.
     pub fn set_alive(&mut self, alive: BTreeMap<MemberId, InstanceId>) {
         self.alive = alive;
     }
 
+    /// When [`Holder::handle_deadline`] is to be called next.
     pub fn next_deadline(&self) -> Ms {
-        let answer = self.asked.map(|it| Timestamp(it.1 .0 + self.patience()));
-        self.renew_at.min(answer.unwrap_or(self.act_at)).0
+        let answer_due = self.pending.map(|(_, asked)| Timestamp(asked.0 + self.answer_timeout()));
+        self.next_renewal.min(answer_due.unwrap_or(self.next_action)).0
     }
 
-    pub fn handle_deadline(&mut self, now: Ms, out: &mut dyn Effects) {
-        self.renew_when_due(now, out);
-        if self.asked.is_some_and(|it| now >= it.1 .0 + self.patience()) {
-            out.note(LeaseEvent::Unanswered);
-            self.put_off(now);
+    /// Does everything that is due now.
+    pub fn handle_deadline(&mut self, now: Ms, effects: &mut dyn Effects) {
+        self.renew_when_due(now, effects);
+        if self.pending.is_some_and(|(_, asked)| now >= asked.0 + self.answer_timeout()) {
+            effects.note(LeaseEvent::Unanswered);
+            self.abandon_pending(now);
         }
-        if self.asked.is_none() && Timestamp(now) >= self.act_at {
-            self.act(now, out);
+        if self.pending.is_none() && Timestamp(now) >= self.next_action {
+            self.act(now, effects);
         }
     }
 
-    /// Nothing rests any more on what [`Effects::shrink`] took off: it is given back.
-    pub fn finish_shrink(&mut self, now: Ms, out: &mut dyn Effects) {
-        let gone: Vec<(Slot, Epoch)> =
-            self.slots.iter().filter(|it| it.1.stopping).map(|it| (*it.0, it.1.epoch)).collect();
-        for (slot, epoch) in &gone {
-            out.note(LeaseEvent::Released);
-            self.let_go.insert(*slot, *epoch);
+    /// The caller no longer uses the slots that [`Effects::shrink`] took away: gives them back.
+    pub fn finish_shrink(&mut self, now: Ms, effects: &mut dyn Effects) {
+        let stopped: Vec<(Slot, Epoch)> =
+            self.slots.iter().filter(|(_, own)| own.stopping).map(|(slot, own)| (*slot, own.epoch)).collect();
+        for (slot, epoch) in &stopped {
+            effects.note(LeaseEvent::Released);
+            self.released.insert(*slot, *epoch);
         }
-        if self.terms.guards.stop_first() {
-            self.slots.retain(|_, it| !it.stopping);
+        if self.config.guards.stop_first() {
+            self.slots.retain(|_, own| !own.stopping);
         }
-        self.tell_releases(out);
+        self.send_releases(effects);
         if self.leaving {
-            self.propose_all(now, out);
-        }
-        self.act_at = Timestamp(now);
-        self.handle_deadline(now, out);
-    }
-
-    /// What stands in a register, learned by following or by an answer. Only what is chosen may be told here:
-    /// a councillor grants epochs that it has not accepted itself yet.
-    ///
-    /// # Errors
-    /// [`LeaseError::Body`]; nothing is changed then.
-    pub fn register_changed(
-        &mut self,
-        no: BucketId,
-        revision: u64,
-        body: &[u8],
-        out: &mut dyn Effects,
-    ) -> Result<(), LeaseError> {
-        if self.books.get(&no).is_some_and(|it| it.revision >= revision) {
-            return Ok(());
+            self.propose_all_releases(now, effects);
         }
-        let bucket = Bucket::decode(no, self.terms.slots_in(no), body)?;
-        for (seat, it) in bucket.entries() {
-            let slot = no.slot(seat);
-            if self.let_go.get(&slot).is_some_and(|epoch| it.epoch > *epoch) {
-                self.let_go.remove(&slot);
-            }
-            let known = self.slots.get(&slot).map(|mine| mine.epoch);
-            if known.is_some_and(|epoch| epoch < it.epoch) {
-                self.lose(slot, out);
-            }
-            let new = known.is_none_or(|epoch| epoch < it.epoch) && !self.let_go.contains_key(&slot);
-            if it.held == Some(self.me) && new && self.leaving {
-                // Asked for before this member was told to end, and never counted: it goes back as it came.
-                self.let_go.insert(slot, it.epoch);
-            } else if it.held == Some(self.me) && new {
-                out.note(LeaseEvent::Acquired);
-                let mine = Mine { epoch: it.epoch, until: Timestamp::NEVER, refused: 0, stopping: false };
-                self.slots.insert(slot, mine);
-                // A slot counts from its first renewal: do not wait for the next round.
-                self.renew_at = Timestamp::NEVER;
-            }
-        }
-        self.books.insert(no, Book { revision, bucket, shut_until: Timestamp::NEVER });
-        Ok(())
-    }
-
-    fn lose(&mut self, slot: Slot, out: &mut dyn Effects) {
-        self.slots.remove(&slot);
-        out.note(LeaseEvent::Lost);
+        self.next_action = Timestamp(now);
+        self.handle_deadline(now, effects);
     }
 
-    /// A number below that one.
-    fn below(&mut self, limit: usize) -> usize {
-        self.chance = (self.chance & 0xffff_ffff) * 4_294_957_665 + (self.chance >> 32);
-        (((self.chance & 0xffff_ffff) * limit as u64) >> 32) as usize
+    /// A random number below `limit`.
+    fn random_below(&mut self, limit: usize) -> usize {
+        self.random_state = (self.random_state & 0xffff_ffff) * 4_294_957_665 + (self.random_state >> 32);
+        (((self.random_state & 0xffff_ffff) * limit as u64) >> 32) as usize
     }
 }
--- a/leases/src/holder/change.rs
+++ b/leases/src/holder/change.rs
@@ -1,192 +1,212 @@
-//! How a member comes to hold more or less: one change of one register at a time.
+//! How a member comes to hold more or fewer slots: it changes one register at a time.
 
 use super::*;
 use crate::bucket::SLOTS_PER_BUCKET;
+use crate::error::LeaseError;
 
-/// The shortest wait after a conflict, as a part of the lease; doubled at each further one.
+/// The longest wait after a first conflict, as a fraction of the lease; doubled at each further conflict.
 const BACK_OFF: f64 = 1.0 / 128.0;
-const MOST_DOUBLED: u32 = 5;
+const MAX_DOUBLINGS: u32 = 5;
 
 impl Holder {
     /// How long the council may take to answer.
-    pub(super) fn patience(&self) -> Ms {
-        self.terms.lease() * 0.5
+    pub(super) fn answer_timeout(&self) -> Ms {
+        self.config.lease() * 0.5
     }
 
-    /// What was asked got no answer: it may have been done or not, so the register is read before the next try.
-    pub(super) fn put_off(&mut self, now: Ms) {
-        if let Some((no, _)) = self.asked.take() {
-            self.books.remove(&no);
+    /// Gives up waiting for an answer. The change may have been made or not, so the register is read before the
+    /// next attempt.
+    pub(super) fn abandon_pending(&mut self, now: Ms) {
+        if let Some((id, _)) = self.pending.take() {
+            self.known.remove(&id);
         }
         self.back_off(now);
     }
 
-    /// By chance, so that members who met do not meet again.
+    /// Waits for a random time, so that members whose changes conflicted do not collide again.
     fn back_off(&mut self, now: Ms) {
-        let longest = self.terms.lease() * (BACK_OFF * f64::from(1 << self.tries.min(MOST_DOUBLED)));
-        self.tries += 1;
-        self.act_at = Timestamp(now + longest * ((1 + self.below(64)) as f64 / 64.0));
+        let doublings = self.retries.min(MAX_DOUBLINGS);
+        let longest = self.config.lease() * (BACK_OFF * f64::from(1 << doublings));
+        self.retries += 1;
+        self.next_action = Timestamp(now + longest * ((1 + self.random_below(64)) as f64 / 64.0));
     }
 
-    /// The council's answer to the last reading or proposal.
+    /// Handles the council's answer to the last read or proposal.
     ///
     /// # Errors
-    /// [`LeaseError::Body`] if the register cannot be read; it is tried again later.
+    /// [`LeaseError::Body`] if the register can't be decoded; it is read again later.
     pub fn council_answered(
         &mut self,
         now: Ms,
-        no: BucketId,
+        id: BucketId,
         answer: Answer,
-        out: &mut dyn Effects,
+        effects: &mut dyn Effects,
     ) -> Result<(), LeaseError> {
-        let waited_for = self.asked.is_some_and(|it| it.0 == no);
-        if waited_for {
-            self.asked = None;
+        let was_pending = self.pending.is_some_and(|(pending, _)| pending == id);
+        if was_pending {
+            self.pending = None;
         }
-        let read = match answer {
+        let result = match answer {
             Answer::Chosen { revision, body } => {
-                let read = self.register_changed(no, revision, &body, out);
-                if waited_for && read.is_ok() {
-                    // Where all is known and full, looking again is no hurry and each look costs the council.
-                    let pause =
-                        if std::mem::take(&mut self.looked) { self.terms.renew_every() } else { Ms(0.0) };
-                    (self.tries, self.act_at) = (0, Timestamp(now + pause));
+                let result = self.register_changed(id, revision, &body, effects);
+                if was_pending && result.is_ok() {
+                    // Where all buckets are known and full, another read is not urgent and costs the council.
+                    let rereading = std::mem::take(&mut self.rereading);
+                    let pause = if rereading { self.config.renew_every() } else { Ms(0.0) };
+                    (self.retries, self.next_action) = (0, Timestamp(now + pause));
                 }
-                read
+                result
             }
             Answer::Conflict { revision, body } => {
-                out.note(LeaseEvent::Conflict);
-                // What is known may come from a store that has been lost since: what stands is told here.
-                self.books.remove(&no);
-                let read = self.register_changed(no, revision, &body, out);
+                effects.note(LeaseEvent::Conflict);
+                // The known value may come from a store that has been lost since; the answer has the current one.
+                self.known.remove(&id);
+                let result = self.register_changed(id, revision, &body, effects);
                 self.back_off(now);
-                // Symptom without that: of those told to end at once one gives back, the others go before their
-                // next try.
-                if self.leaving && self.let_go.keys().any(|it| it.bucket() == no) {
-                    self.propose_release(now, no, out);
+                // Without this immediate retry, of several members told to shut down at the same time one gave
+                // its slots back, and the others were gone before their next attempt.
+                if self.leaving && self.released.keys().any(|slot| slot.bucket() == id) {
+                    self.propose_release(now, id, effects);
                 }
-                read
+                result
             }
             Answer::Refused => {
-                out.note(LeaseEvent::Refused);
-                let shut_until = Timestamp(now + self.terms.renew_every());
-                self.books.entry(no).and_modify(|it| it.shut_until = shut_until);
+                effects.note(LeaseEvent::Refused);
+                let retry_after = Timestamp(now + self.config.renew_every());
+                self.known.entry(id).and_modify(|known| known.retry_after = retry_after);
                 self.back_off(now);
                 Ok(())
             }
         };
-        if read.is_err() {
-            self.act_at = Timestamp(now + self.patience());
+        if result.is_err() {
+            self.next_action = Timestamp(now + self.answer_timeout());
         }
-        self.handle_deadline(now, out);
-        read
+        self.handle_deadline(now, effects);
+        result
     }
 
-    /// With no lease in force the council is gone: nothing is given up then, so that all comes back as it was.
-    /// Gives back what is let go, else stops using what is too much, else asks for what is missing.
-    pub(super) fn act(&mut self, now: Ms, out: &mut dyn Effects) {
-        let kept = self.retained_slots();
-        if let Some(no) = self.let_go.keys().next().map(|it| it.bucket()) {
-            self.tell_releases(out);
-            self.propose_release(now, no, out);
-        } else if kept > self.wanted && self.current_share(now).is_some() {
-            self.stop_some(now, usize::from(kept - self.wanted), out);
-        } else if kept < self.wanted {
-            self.ask_more(now, usize::from(self.wanted - kept), out);
+    /// Releases what was given up, else stops using slots above the target, else asks for missing slots.
+    /// Without a lease in force the council can't be reached: nothing is given up then, so that all slots come
+    /// back as they were.
+    pub(super) fn act(&mut self, now: Ms, effects: &mut dyn Effects) {
+        let retained = self.retained_slots();
+        if let Some(id) = self.released.keys().next().map(|slot| slot.bucket()) {
+            self.send_releases(effects);
+            self.propose_release(now, id, effects);
+        } else if retained > self.target && self.current_share(now).is_some() {
+            self.stop_slots(now, usize::from(retained - self.target), effects);
+        } else if retained < self.target {
+            self.request_slots(now, usize::from(self.target - retained), effects);
         } else {
-            self.act_at = Timestamp(now + self.terms.renew_every());
+            self.next_action = Timestamp(now + self.config.renew_every());
         }
     }
 
-    /// This member ends: from now on nothing is held, and nothing is taken up any more. As with any smaller
-    /// part, once nothing rests on what was held: [`Holder::finish_shrink`], which gives all of it back.
-    pub fn leave(&mut self, now: Ms, out: &mut dyn Effects) {
-        (self.leaving, self.wanted) = (true, 0);
-        self.slots.values_mut().for_each(|it| it.stopping = true);
-        out.shrink(self.current_share(now));
+    /// This member shuts down: from now on it holds nothing and takes up nothing. As with any smaller share,
+    /// [`Holder::finish_shrink`] gives all slots back once the caller no longer uses them.
+    pub fn leave(&mut self, now: Ms, effects: &mut dyn Effects) {
+        (self.leaving, self.target) = (true, 0);
+        self.slots.values_mut().for_each(|own| own.stopping = true);
+        effects.shrink(self.current_share(now));
     }
 
-    /// No register that is known here has a slot in this member's name.
+    /// Whether no register known here assigns a slot to this member.
     pub fn has_released_all(&self) -> bool {
-        self.slots.is_empty() && self.let_go.is_empty()
+        self.slots.is_empty() && self.released.is_empty()
     }
 
-    /// All registers at once: who ends has no time for one after the other. What is not answered in time is
-    /// done by the councillors all the same, and what is lost goes to others at the lease's end.
-    pub(super) fn propose_all(&mut self, now: Ms, out: &mut dyn Effects) {
-        let all: BTreeSet<BucketId> = self.let_go.keys().map(|it| it.bucket()).collect();
-        all.into_iter().for_each(|no| self.propose_release(now, no, out));
+    /// Proposes the release in all registers at once, since a member that shuts down has no time to do so one
+    /// after the other. The councillors carry out what is not answered in time; slots whose release is lost go
+    /// to others at the end of the lease.
+    pub(super) fn propose_all_releases(&mut self, now: Ms, effects: &mut dyn Effects) {
+        let all: BTreeSet<BucketId> = self.released.keys().map(|slot| slot.bucket()).collect();
+        all.into_iter().for_each(|id| self.propose_release(now, id, effects));
     }
 
-    fn propose_release(&mut self, now: Ms, no: BucketId, out: &mut dyn Effects) {
-        let seats: Vec<usize> =
-            self.let_go.keys().filter(|it| it.bucket() == no).map(|it| it.index_in_bucket()).collect();
-        self.change(now, no, out, |bucket, me| bucket.release(&seats, me));
+    fn propose_release(&mut self, now: Ms, id: BucketId, effects: &mut dyn Effects) {
+        let indices: Vec<usize> = self
+            .released
+            .keys()
+            .filter(|slot| slot.bucket() == id)
+            .map(|slot| slot.index_in_bucket())
+            .collect();
+        self.change(now, id, effects, |bucket, own_id| bucket.release(&indices, own_id));
     }
 
-    /// Out of the bucket where this member has fewest, so that few registers are written for it later.
-    fn stop_some(&mut self, now: Ms, count: usize, out: &mut dyn Effects) {
-        let mut mine: BTreeMap<BucketId, usize> = BTreeMap::new();
-        self.slots.keys().for_each(|it| *mine.entry(it.bucket()).or_default() += 1);
-        let least = mine.iter().min_by_key(|it| (*it.1, *it.0)).map(|it| *it.0);
-        let some = self.slots.iter_mut().filter(|it| Some(it.0.bucket()) == least).take(count);
-        some.for_each(|it| it.1.stopping = true);
-        self.act_at = Timestamp(now + self.terms.renew_every());
-        out.shrink(self.current_share(now));
+    /// Takes slots out of the bucket where this member has fewest, so that few registers are written for it
+    /// later.
+    fn stop_slots(&mut self, now: Ms, count: usize, effects: &mut dyn Effects) {
+        let mut per_bucket: BTreeMap<BucketId, usize> = BTreeMap::new();
+        self.slots.keys().for_each(|slot| *per_bucket.entry(slot.bucket()).or_default() += 1);
+        let fewest = per_bucket.iter().min_by_key(|(id, count)| (**count, **id)).map(|(id, _)| *id);
+        let stopped = self.slots.iter_mut().filter(|(slot, _)| Some(slot.bucket()) == fewest).take(count);
+        stopped.for_each(|(_, own)| own.stopping = true);
+        self.next_action = Timestamp(now + self.config.renew_every());
+        effects.shrink(self.current_share(now));
     }
 
-    /// In the bucket with most to be had; else one that is not known, else any one again, by chance.
-    fn ask_more(&mut self, now: Ms, count: usize, out: &mut dyn Effects) {
+    /// Asks for slots in the bucket that has most to give; else reads a bucket that is not known; else reads any
+    /// bucket again, at random.
+    fn request_slots(&mut self, now: Ms, count: usize, effects: &mut dyn Effects) {
         let alive = self.alive.clone();
-        // After the own start the roster may not be whole yet.
-        let settled = !alive.is_empty() && now >= self.new.0 + self.terms.lease();
-        let me = self.me;
+        // Right after the start the list of members may be incomplete.
+        let settled = !alive.is_empty() && now >= self.started.0 + self.config.lease();
+        let own_id = self.own_id;
         let gone = move |id: MemberId, instance: InstanceId| {
-            settled && (id, instance) != me && alive.get(&id).is_none_or(|it| *it != instance)
+            settled && (id, instance) != own_id && alive.get(&id).is_none_or(|current| *current != instance)
         };
-        let lapsed = |it: &Bucket| it.expire(SLOTS_PER_BUCKET, &gone).free() - it.free();
-        let most = |it: &Book| (it.bucket.free().min(count), lapsed(&it.bucket).min(count));
-        let open = self.books.iter().filter(|it| Timestamp(now) >= it.1.shut_until);
-        let open: Vec<((usize, usize), BucketId)> =
-            open.map(|it| (most(it.1), *it.0)).filter(|it| it.0 != (0, 0)).collect();
-        let best = open.iter().map(|it| it.0).max();
-        let among: Vec<BucketId> = open.iter().filter(|it| Some(it.0) == best).map(|it| it.1).collect();
+        let expired = |bucket: &Bucket| bucket.expire(SLOTS_PER_BUCKET, &gone).free() - bucket.free();
+        let available =
+            |known: &KnownBucket| (known.bucket.free().min(count), expired(&known.bucket).min(count));
+        let candidates: Vec<((usize, usize), BucketId)> = self
+            .known
+            .iter()
+            .filter(|(_, known)| Timestamp(now) >= known.retry_after)
+            .map(|(id, known)| (available(known), *id))
+            .filter(|(available, _)| *available != (0, 0))
+            .collect();
+        let best = candidates.iter().map(|(available, _)| *available).max();
+        let best_buckets: Vec<BucketId> =
+            candidates.iter().filter(|(available, _)| Some(*available) == best).map(|(_, id)| *id).collect();
         if let Some((free, _)) = best {
-            // One of the best by chance: members who know the same do not all go to the same register.
-            let no = among[self.below(among.len())];
-            // Free ones first: a change that only takes these waits for no lease.
-            let expired = if free > 0 { 0 } else { count };
-            self.change(now, no, out, |it, me| it.expire(expired, &gone).acquire(count, me));
+            // One of the best at random: members that know the same do not all choose the same register.
+            let id = best_buckets[self.random_below(best_buckets.len())];
+            // Free slots first: a change that takes only these waits for no lease.
+            let expire_count = if free > 0 { 0 } else { count };
+            self.change(now, id, effects, |bucket, own_id| {
+                bucket.expire(expire_count, &gone).acquire(count, own_id)
+            });
             return;
         }
-        let all: Vec<BucketId> = self.terms.buckets().collect();
-        let unknown: Vec<BucketId> = all.iter().filter(|it| !self.books.contains_key(it)).copied().collect();
-        let among = if unknown.is_empty() { &all } else { &unknown };
-        if among.is_empty() {
+        let all: Vec<BucketId> = self.config.buckets().collect();
+        let unknown: Vec<BucketId> = all.iter().filter(|id| !self.known.contains_key(id)).copied().collect();
+        let choices = if unknown.is_empty() { &all } else { &unknown };
+        if choices.is_empty() {
             return;
         }
-        let no = among[self.below(among.len())];
-        self.looked = unknown.is_empty();
-        self.asked = Some((no, Timestamp(now)));
-        out.read(no);
+        let id = choices[self.random_below(choices.len())];
+        self.rereading = unknown.is_empty();
+        self.pending = Some((id, Timestamp(now)));
+        effects.read(id);
     }
 
+    /// Proposes a change of a bucket, or reads the bucket if its value is not known.
     fn change(
         &mut self,
         now: Ms,
-        no: BucketId,
-        out: &mut dyn Effects,
-        by: impl FnOnce(&Bucket, (MemberId, InstanceId)) -> Bucket,
+        id: BucketId,
+        effects: &mut dyn Effects,
+        edit: impl FnOnce(&Bucket, (MemberId, InstanceId)) -> Bucket,
     ) {
-        self.asked = Some((no, Timestamp(now)));
-        let Some(book) = self.books.get(&no) else { return out.read(no) };
-        match by(&book.bucket, self.me).encode() {
+        self.pending = Some((id, Timestamp(now)));
+        let Some(known) = self.known.get(&id) else { return effects.read(id) };
+        match edit(&known.bucket, self.own_id).encode() {
             Ok(body) => {
-                out.note(LeaseEvent::Proposed);
-                out.propose(no, book.revision, body);
+                effects.note(LeaseEvent::Proposed);
+                effects.propose(id, known.revision, body);
             }
-            // Cannot be: 834 bytes at most. Waited for like an answer that stays out.
-            Err(_) => self.act_at = Timestamp(now + self.patience()),
+            // Not possible: a body has 834 bytes at most. Treated like an answer that does not come.
+            Err(_) => self.next_action = Timestamp(now + self.answer_timeout()),
         }
     }
 }
--- a/leases/src/ids.rs
+++ b/leases/src/ids.rs
@@ -1,4 +1,4 @@
-//! One type for each kind of number; who a member is comes from `members`.
+//! A type for each kind of number. The ids of members come from `ottersail-membership`.
 
 use ottersail::time::Ms;
 pub use ottersail_membership::{InstanceId, MemberId};
@@ -14,36 +14,38 @@
 }
 
 numbers!(
-    /// One of the whole's equal parts, counted through all buckets.
+    /// One of the equal shares of the capacity, numbered through all buckets.
     Slot(u16),
-    /// Raised by one at each change of a slot's holder, so that an older holder's renewals can be told apart.
+    /// Raised by one at each change of a slot's holder, so that renewals of an earlier holder can be recognized.
     Epoch(u32),
-    /// One register of the council: 24 slots.
+    /// One register of the council, with 24 slots.
     BucketId(u8),
 );
 
 impl Slot {
+    /// The bucket that this slot is in.
     pub fn bucket(self) -> BucketId {
         BucketId((self.0 / crate::bucket::SLOTS_PER_BUCKET as u16) as u8)
     }
 
-    /// Its place in its bucket.
+    /// Its index in its bucket.
     pub(crate) fn index_in_bucket(self) -> usize {
         usize::from(self.0) % crate::bucket::SLOTS_PER_BUCKET
     }
 }
 
 impl BucketId {
-    pub(crate) fn slot(self, seat: usize) -> Slot {
-        Slot(u16::from(self.0) * crate::bucket::SLOTS_PER_BUCKET as u16 + seat as u16)
+    pub(crate) fn slot(self, index: usize) -> Slot {
+        Slot(u16::from(self.0) * crate::bucket::SLOTS_PER_BUCKET as u16 + index as u16)
     }
 }
 
-/// A time of one member's monotonic clock that can be hashed, for explored models.
+/// A time of one member's monotonic clock. It can be hashed, as the model checker requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timestamp(pub Ms);
 
 impl Timestamp {
+    /// Earlier than any time of a clock.
     pub const NEVER: Timestamp = Timestamp(Ms::DISTANT_PAST);
 }
 
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -1,31 +1,32 @@
-//! Which part of the whole a member may act on. The whole is cut into slots; a slot has one holder at a time by
-//! a lease (Gray, Cheriton 1989: "Leases: an efficient fault-tolerant mechanism for distributed file cache
-//! consistency") that a majority of councillors renews. docs/parts.md weighs it and says what is promised.
+//! Leases that decide which share of the cluster's capacity a member may act on. The capacity is divided into
+//! slots. A slot has one holder at a time, by a lease (Gray, Cheriton 1989: "Leases: an efficient fault-tolerant
+//! mechanism for distributed file cache consistency") that a majority of councillors renews. See docs/parts.md for
+//! the guarantees.
 //!
-//! No I/O: the time is an argument, one method an input, and what is wanted goes out through [`Effects`].
+//! The crate does no I/O: time is an argument, each input is a method, and outputs go through [`Effects`].
 
+mod balancer;
 mod bucket;
+mod config;
+mod effects;
+mod error;
+mod events;
+mod grants;
 mod guards;
 mod holder;
 mod ids;
 mod messages;
-mod needs;
-mod notes;
-mod renewals;
-mod terms;
 #[cfg(test)]
 mod tests;
-mod trouble;
-mod wishes;
 
+pub use balancer::SlotBalancer;
 pub use bucket::{Bucket, SlotEntry};
+pub use config::LeaseConfig;
+pub use effects::Effects;
+pub use error::LeaseError;
+pub use events::{Counters, LeaseEvent};
+pub use grants::{Disallowed, LeaseGrants};
 pub use guards::Guards;
 pub use holder::{Answer, Holder, SlotShare};
 pub use ids::{BucketId, Epoch, InstanceId, MemberId, Slot, Timestamp};
 pub use messages::{Demand, Release, Renew, Renewed};
-pub use needs::SlotBalancer;
-pub use notes::{Counters, LeaseEvent};
-pub use renewals::{Disallowed, LeaseGrants};
-pub use terms::LeaseConfig;
-pub use trouble::LeaseError;
-pub use wishes::Effects;
--- a/leases/src/messages.rs
+++ b/leases/src/messages.rs
@@ -1,13 +1,13 @@
-//! What a holder and a councillor say to each other, and what every member tells all. Each fits 900 bytes.
+//! Messages between holders and councillors, and the payload that each member sends to all. Each fits 900 bytes.
 
+use crate::error::LeaseError;
 use crate::ids::{Epoch, InstanceId, Slot};
-use crate::trouble::LeaseError;
 use serde::{Deserialize, Serialize};
 
-/// Slots in one message: 8 bytes each at most, 784 with the rest.
-pub const PAGE: usize = 96;
+/// Slots in one message: 8 bytes each at most, 784 with the other fields.
+pub const SLOTS_PER_PAGE: usize = 96;
 
-/// A holder asks a councillor to go on holding these. The number is one page's; all councillors get the same.
+/// A holder's request to renew the leases of these slots. All councillors get the same page with the same number.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Renew {
     pub instance: InstanceId,
@@ -16,13 +16,13 @@
 }
 
 impl Renew {
-    /// How long it is as a message; 0 if it cannot be written.
+    /// The bytes of the encoded message, or 0 if it can't be encoded.
     pub fn bytes(&self) -> usize {
         postcard::experimental::serialized_size(self).unwrap_or(0)
     }
 }
 
-/// A councillor's answer: all that was asked is granted but these.
+/// A councillor's answer: it renewed all slots of the request except the refused ones.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Renewed {
     pub instance: InstanceId,
@@ -30,36 +30,38 @@
     pub refused: Vec<Slot>,
 }
 
-/// A holder no longer uses these and never will under that epoch.
+/// A holder no longer uses these slots, and never will under these epochs.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Release {
     pub instance: InstanceId,
     pub slots: Vec<(Slot, Epoch)>,
 }
 
-/// What a member tells all others with its probes: what it has to send, and what it holds.
+/// What a member tells all others along with its probes: its demand, and the slots that it holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Demand {
-    /// Own arrivals a second, in thousandths.
+    /// Arrivals per second at this member, in thousandths.
     pub need: u32,
+    /// Slots that it holds.
     pub held: u16,
 }
 
 impl Demand {
-    /// 8 bytes at most.
+    /// Encodes it, in 8 bytes at most.
     ///
     /// # Errors
-    /// [`LeaseError::Written`] if it cannot be written.
+    /// [`LeaseError::TooLong`] if it can't be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, LeaseError> {
-        postcard::to_allocvec(self).map_err(|_| LeaseError::Written { bytes: 0 })
+        postcard::to_allocvec(self).map_err(|_| LeaseError::TooLong { bytes: 0 })
     }
 
-    /// Bytes after it are a later version's and are let be.
+    /// Decodes it. Further bytes are from a later version and are ignored.
     ///
     /// # Errors
-    /// [`LeaseError::Demand`] if it is cut.
+    /// [`LeaseError::Demand`] if it is truncated.
     pub fn decode(bytes: &[u8]) -> Result<Demand, LeaseError> {
-        let read = postcard::take_from_bytes(bytes).map_err(|_| LeaseError::Demand { bytes: bytes.len() })?;
-        Ok(read.0)
+        let (demand, _) =
+            postcard::take_from_bytes(bytes).map_err(|_| LeaseError::Demand { bytes: bytes.len() })?;
+        Ok(demand)
     }
 }
--- a/leases/src/tests/council.rs
+++ b/leases/src/tests/council.rs
@@ -1,14 +1,14 @@
-//! A simple model of the council: one CASPaxos register a bucket (Rystsov 2018), what was promised kept through
-//! restarts, one round a bucket at a time at each proposer.
+//! A simple model of the council: one CASPaxos register per bucket (Rystsov 2018). Promises survive restarts; each
+//! proposer runs one round per bucket at a time.
 
-use super::world::{Body, Chance};
+use super::world::{Body, Rng};
 use crate::*;
 use ottersail::time::Ms;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 pub type Ballot = (u64, usize);
 type Value = (u64, Vec<u8>);
-/// What is asked of a register: a reading, or a body if it still has that revision.
+/// A request to a register: a read (`None`), or a new body on condition that the register has this revision.
 pub type Change = Option<Value>;
 
 #[derive(Clone, Debug)]
@@ -17,7 +17,7 @@
     Promise(Ballot, Option<(Ballot, Value)>),
     Accept(BucketId, Ballot, Value),
     Accepted(Ballot),
-    No(Ballot, Ballot),
+    Refused(Ballot, Ballot),
 }
 
 #[derive(Default)]
@@ -29,7 +29,7 @@
 
 struct Run {
     asker: usize,
-    no: BucketId,
+    bucket_id: BucketId,
     change: Change,
     since: Ms,
     promises: BTreeMap<usize, Option<(Ballot, Value)>>,
@@ -39,110 +39,119 @@
 }
 
 pub struct Councillor {
-    me: usize,
-    of: usize,
-    terms: LeaseConfig,
+    index: usize,
+    councillors: usize,
+    config: LeaseConfig,
     pub renewals: LeaseGrants,
     registers: BTreeMap<BucketId, Register>,
     ballot: u64,
     runs: BTreeMap<Ballot, Run>,
     waiting: BTreeMap<BucketId, VecDeque<(usize, Change)>>,
-    /// Bodies accepted, each one write to a disk.
+    /// The number of accepted bodies, each of which is a write to disk.
     pub writes: u64,
 }
 
-type Out = Vec<(usize, Body)>;
+type Outputs = Vec<(usize, Body)>;
 
 impl Councillor {
-    pub fn new(now: Ms, me: usize, terms: LeaseConfig) -> Councillor {
-        let of = terms.councillors.len();
-        let renewals = LeaseGrants::new(now, terms.clone());
+    pub fn new(now: Ms, index: usize, config: LeaseConfig) -> Councillor {
+        let councillors = config.councillors.len();
+        let renewals = LeaseGrants::new(now, config.clone());
         let (registers, runs, waiting) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        Councillor { me, of, terms, renewals, registers, ballot: 0, runs, waiting, writes: 0 }
+        Councillor { index, councillors, config, renewals, registers, ballot: 0, runs, waiting, writes: 0 }
     }
 
-    /// LeaseGrants and rounds are forgotten, what was promised is not.
-    pub fn restart(&mut self, now: Ms, terms: LeaseConfig) {
-        self.renewals = LeaseGrants::new(now, terms);
+    /// Granted renewals and rounds are forgotten; promises are not.
+    pub fn restart(&mut self, now: Ms, config: LeaseConfig) {
+        self.renewals = LeaseGrants::new(now, config);
         self.runs.clear();
         self.waiting.clear();
     }
 
-    pub fn renew(&mut self, now: Ms, from: MemberId, ask: &Renew) -> Renewed {
-        let seat = |it: &Register, slot: Slot| it.bucket.as_ref().map(|it| it.entry(slot.index_in_bucket()));
-        let accepted = |slot: Slot| self.registers.get(&slot.bucket()).and_then(|it| seat(it, slot));
-        self.renewals.renew(now, from, ask, |slot| accepted(slot).unwrap_or_default())
+    pub fn renew(&mut self, now: Ms, from: MemberId, request: &Renew) -> Renewed {
+        let entry = |register: &Register, slot: Slot| {
+            register.bucket.as_ref().map(|bucket| bucket.entry(slot.index_in_bucket()))
+        };
+        let accepted =
+            |slot: Slot| self.registers.get(&slot.bucket()).and_then(|register| entry(register, slot));
+        self.renewals.renew(now, from, request, |slot| accepted(slot).unwrap_or_default())
     }
 
-    pub fn ask(&mut self, now: Ms, asker: usize, no: BucketId, change: Change, out: &mut Out) {
-        self.waiting.entry(no).or_default().push_back((asker, change));
-        self.next(now, no, out);
+    pub fn ask(&mut self, now: Ms, asker: usize, bucket_id: BucketId, change: Change, outputs: &mut Outputs) {
+        self.waiting.entry(bucket_id).or_default().push_back((asker, change));
+        self.next(now, bucket_id, outputs);
     }
 
-    fn next(&mut self, now: Ms, no: BucketId, out: &mut Out) {
-        self.runs.retain(|_, it| now - it.since < Ms(600.0));
-        if self.runs.values().any(|it| it.no == no) {
+    fn next(&mut self, now: Ms, bucket_id: BucketId, outputs: &mut Outputs) {
+        self.runs.retain(|_, run| now - run.since < Ms(600.0));
+        if self.runs.values().any(|run| run.bucket_id == bucket_id) {
             return;
         }
-        let Some((asker, change)) = self.waiting.entry(no).or_default().pop_front() else { return };
+        let Some((asker, change)) = self.waiting.entry(bucket_id).or_default().pop_front() else { return };
         self.ballot += 1;
-        let ballot = (self.ballot, self.me);
+        let ballot = (self.ballot, self.index);
         let (promises, refusals, accepted) = Default::default();
-        let run = Run { asker, no, change, since: now, promises, refusals, accepted, value: None };
+        let run = Run { asker, bucket_id, change, since: now, promises, refusals, accepted, value: None };
         self.runs.insert(ballot, run);
-        out.extend((0..self.of).map(|to| (to, Body::Round(Round::Prepare(no, ballot)))));
+        outputs.extend((0..self.councillors).map(|to| (to, Body::Round(Round::Prepare(bucket_id, ballot)))));
     }
 
-    pub fn round(&mut self, now: Ms, from: usize, round: Round, out: &mut Out) {
-        let mut say = |it| out.push((from, Body::Round(it)));
+    pub fn round(&mut self, now: Ms, from: usize, round: Round, outputs: &mut Outputs) {
+        let mut reply = |round| outputs.push((from, Body::Round(round)));
         match round {
-            Round::Prepare(no, ballot) => {
-                let register = self.registers.entry(no).or_default();
+            Round::Prepare(bucket_id, ballot) => {
+                let register = self.registers.entry(bucket_id).or_default();
                 if ballot < register.promised {
-                    return say(Round::No(ballot, register.promised));
+                    return reply(Round::Refused(ballot, register.promised));
                 }
                 register.promised = ballot;
-                say(Round::Promise(ballot, register.accepted.clone()));
+                reply(Round::Promise(ballot, register.accepted.clone()));
             }
-            Round::Accept(no, ballot, value) => {
-                let register = self.registers.entry(no).or_default();
-                let before = register.accepted.as_ref().map_or(&[][..], |it| &it.1 .1);
-                let allowed = self.renewals.allows_encoded(now, no, before, &value.1);
+            Round::Accept(bucket_id, ballot, value) => {
+                let register = self.registers.entry(bucket_id).or_default();
+                let before = register.accepted.as_ref().map_or(&[][..], |(_, value)| &value.1);
+                let allowed = self.renewals.allows_encoded(now, bucket_id, before, &value.1);
                 if ballot < register.promised || !allowed {
-                    return say(Round::No(ballot, register.promised));
+                    return reply(Round::Refused(ballot, register.promised));
                 }
-                register.bucket = Bucket::decode(no, self.terms.slots_in(no), &value.1).ok();
+                register.bucket = Bucket::decode(bucket_id, self.config.slots_in(bucket_id), &value.1).ok();
                 (register.promised, register.accepted) = (ballot, Some((ballot, value)));
                 self.writes += 1;
-                say(Round::Accepted(ballot));
+                reply(Round::Accepted(ballot));
             }
-            Round::Promise(ballot, accepted) => self.promised(from, ballot, accepted, out),
+            Round::Promise(ballot, accepted) => self.promised(from, ballot, accepted, outputs),
             Round::Accepted(ballot) => {
                 let Some(run) = self.runs.get_mut(&ballot) else { return };
                 run.accepted.insert(from);
-                if run.accepted.len() > self.of / 2 {
-                    self.end(now, ballot, false, out);
+                if run.accepted.len() > self.councillors / 2 {
+                    self.end(now, ballot, false, outputs);
                 }
             }
-            Round::No(ballot, promised) => {
+            Round::Refused(ballot, promised) => {
                 self.ballot = self.ballot.max(promised.0);
                 let Some(run) = self.runs.get_mut(&ballot) else { return };
                 run.refusals.insert(from);
-                if run.refusals.len() > (self.of - 1) / 2 {
-                    self.end(now, ballot, true, out);
+                if run.refusals.len() > (self.councillors - 1) / 2 {
+                    self.end(now, ballot, true, outputs);
                 }
             }
         }
     }
 
-    fn promised(&mut self, from: usize, ballot: Ballot, accepted: Option<(Ballot, Value)>, out: &mut Out) {
-        let Some(run) = self.runs.get_mut(&ballot).filter(|it| it.value.is_none()) else { return };
+    fn promised(
+        &mut self,
+        from: usize,
+        ballot: Ballot,
+        accepted: Option<(Ballot, Value)>,
+        outputs: &mut Outputs,
+    ) {
+        let Some(run) = self.runs.get_mut(&ballot).filter(|run| run.value.is_none()) else { return };
         run.promises.insert(from, accepted);
-        if run.promises.len() <= self.of / 2 {
+        if run.promises.len() <= self.councillors / 2 {
             return;
         }
-        let highest = run.promises.values().flatten().max_by_key(|it| it.0);
-        let (revision, body) = highest.map(|it| it.1.clone()).unwrap_or_default();
+        let highest = run.promises.values().flatten().max_by_key(|(ballot, _)| *ballot);
+        let (revision, body) = highest.map(|(_, value)| value.clone()).unwrap_or_default();
         let chosen = |revision, body| Answer::Chosen { revision, body };
         let (value, answer) = match &run.change {
             Some((expected, to)) if *expected == revision => {
@@ -152,19 +161,19 @@
             None => ((revision, body.clone()), chosen(revision, body)),
         };
         run.value = Some((value.clone(), answer));
-        let accept = Round::Accept(run.no, ballot, value);
-        out.extend((0..self.of).map(|to| (to, Body::Round(accept.clone()))));
+        let accept = Round::Accept(run.bucket_id, ballot, value);
+        outputs.extend((0..self.councillors).map(|to| (to, Body::Round(accept.clone()))));
     }
 
-    fn end(&mut self, now: Ms, ballot: Ballot, refused: bool, out: &mut Out) {
+    fn end(&mut self, now: Ms, ballot: Ballot, refused: bool, outputs: &mut Outputs) {
         let Some(run) = self.runs.remove(&ballot) else { return };
-        let answer = run.value.map(|it| it.1).filter(|_| !refused).unwrap_or(Answer::Refused);
-        out.push((run.asker, Body::Answer(run.no, answer)));
-        self.next(now, run.no, out);
+        let answer = run.value.map(|(_, answer)| answer).filter(|_| !refused).unwrap_or(Answer::Refused);
+        outputs.push((run.asker, Body::Answer(run.bucket_id, answer)));
+        self.next(now, run.bucket_id, outputs);
     }
 }
 
-/// A clock of its own for each process.
+/// The clock of one process.
 #[derive(Clone, Copy)]
 pub struct Clock {
     pub offset: f64,
@@ -172,13 +181,13 @@
 }
 
 impl Clock {
-    pub fn drawn(chance: &mut Chance, drift: f64) -> Clock {
-        let rate = match chance.below(3) {
+    pub fn random(rng: &mut Rng, drift: f64) -> Clock {
+        let rate = match rng.below(3) {
             0 => 1.0 - drift,
             1 => 1.0 + drift,
-            _ => 1.0 + drift * (chance.part() * 2.0 - 1.0),
+            _ => 1.0 + drift * (rng.fraction() * 2.0 - 1.0),
         };
-        Clock { offset: chance.part() * 1e6, rate }
+        Clock { offset: rng.fraction() * 1e6, rate }
     }
 
     pub fn local(&self, now: Ms) -> Ms {
