--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -18,7 +18,7 @@
 use lingering::Lingering;
 use ottersail::time::Ms;
 use ottersail_net::{block_on, executor, listen, Clock, Listener, Timer};
-use ottersail_platform::config::{self, Start};
+use ottersail_platform::config::{self, ManagerConfig};
 use ottersail_platform::node::Node;
 use output::Sockets;
 use std::cell::{Cell, RefCell};
@@ -36,7 +36,7 @@
 /// in the listener's queue rather than take the descriptors kept for servers.
 async fn accept(hub: Rc<Hub>, listener: Listener) {
     loop {
-        while !hub.node.borrow().may_accept() {
+        while !hub.node.borrow().can_accept() {
             Timer::after(ACCEPT_PAUSE).await;
         }
         match listener.accept().await {
@@ -62,19 +62,19 @@
 }
 
 /// Reads the configuration. Entries of the list of servers that cannot be read are left out and logged.
-fn read(path: &Path) -> Result<Start, NodeError> {
+fn read(path: &Path) -> Result<ManagerConfig, NodeError> {
     let file = || path.to_path_buf();
     let text = std::fs::read_to_string(path).map_err(|why| NodeError::Unread { file: file(), why })?;
-    let start = config::read(&text);
-    let start = start.map_err(|error| NodeError::Config { file: file(), why: error.to_string() })?;
-    for error in &start.known.dropped {
+    let config = config::read(&text);
+    let config = config.map_err(|error| NodeError::Config { file: file(), why: error.to_string() })?;
+    for error in &config.initial_events.dropped {
         warn!(file = %path.display(), error = %format_args!("known: {error}"), "left out of the list of servers");
     }
-    let unlogged = start.known.dropped_count - start.known.dropped.len();
+    let unlogged = config.initial_events.dropped_count - config.initial_events.dropped.len();
     if unlogged > 0 {
         warn!(file = %path.display(), unlogged, "more is left out of the list of servers");
     }
-    Ok(start)
+    Ok(config)
 }
 
 /// Runs a manager; comes back after SIGTERM or SIGINT.
@@ -82,19 +82,20 @@
 /// # Errors
 /// What keeps it from starting.
 pub fn run(path: PathBuf) -> Result<(), NodeError> {
-    let start = read(&path)?;
+    let config = read(&path)?;
     let address: SocketAddr =
-        start.listen.parse().map_err(|why| NodeError::Address { file: path.clone(), why })?;
+        config.listen_address.parse().map_err(|why| NodeError::Address { file: path.clone(), why })?;
     let exec = executor();
     let clock = Clock::start();
     block_on(exec.run(async {
         // Before the first test can be passed: a signal that comes early must not end the program.
         let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])
             .map_err(|why| NodeError::Signals { why })?;
-        let (name, connect, channel) = (start.name.clone(), start.connect, start.channel.clone());
-        let (longest, seed) = (start.longest, start.seed);
+        let (name, connect, channel) =
+            (config.name.clone(), config.connect_timeout, config.channel_address.clone());
+        let (longest, seed) = (config.longest_patience, config.seed);
         let mut sockets = Sockets::default();
-        let node = Node::new(Ms(clock.now()), start, &mut sockets);
+        let node = Node::new(Ms(clock.now()), config, &mut sockets);
         sockets.lingering = Lingering::new(node.descriptor_limits().lingering);
         let hub = Rc::new(Hub {
             exec,
@@ -137,9 +138,9 @@
 /// A file that can't be read changes nothing.
 fn reload(hub: &Hub, path: &Path) {
     match read(path) {
-        Ok(start) => {
-            info!(channel = start.channel, "the command channel is another from now on");
-            *hub.channel.borrow_mut() = start.channel;
+        Ok(config) => {
+            info!(channel = config.channel_address, "the command channel is another from now on");
+            *hub.channel.borrow_mut() = config.channel_address;
             hub.moved.borrow_mut().take().into_iter().for_each(Waker::wake);
         }
         Err(error) => {
--- a/daemon/src/node/channel.rs
+++ b/daemon/src/node/channel.rs
@@ -77,7 +77,7 @@
 }
 
 async fn ask(hub: &Hub, client: &Client, address: &str, warned: &Cell<bool>) -> Asked {
-    let resume = hub.node.borrow().resume();
+    let resume = hub.node.borrow().resume_number();
     let path = format!("/cmd/next?resume={resume}&block={}", LONG_POLL.as_millis());
     let request = Client::request(Method::GET, address, &path);
     let answered = async { client.exchange(address, request, MOST_BYTES, || true).await.ok() };
--- a/daemon/src/node/connection_tasks.rs
+++ b/daemon/src/node/connection_tasks.rs
@@ -29,9 +29,7 @@
                 let heard = |heard: Heard| {
                     hub.with(|node, now, sockets| match heard {
                         Heard::More(bytes) => node.client_data(now, connection_id, bytes, sockets),
-                        Heard::Closed(bytes) => {
-                            node.client_data_then_close(now, connection_id, bytes, sockets)
-                        }
+                        Heard::Closed(bytes) => node.client_final_data(now, connection_id, bytes, sockets),
                     });
                 };
                 let lingering = hub.sockets.borrow().lingering.clone();
--- a/daemon/src/node/figures.rs
+++ b/daemon/src/node/figures.rs
@@ -22,6 +22,6 @@
     let node = hub.node.borrow();
     let (connections, unwatched) = node.server_connections();
     let (longest_turn_ms, latest_timer_ms) = (hub.turns.longest.take(), hub.turns.latest.take());
-    let (open, playing) = (node.open(), node.playing());
+    let (open, playing) = (node.open_set_ups(), node.playing_sessions());
     info!(open, playing, connections, unwatched, longest_turn_ms, latest_timer_ms, counters = %node.counters(), "figures");
 }
--- a/daemon/src/node/hub.rs
+++ b/daemon/src/node/hub.rs
@@ -52,7 +52,7 @@
         let mut node = self.node.borrow_mut();
         let done = what(&mut node, now, &mut self.sockets.borrow_mut());
         TurnTimes::note(&self.turns.longest, (self.now() - now).0);
-        if node.next().is_some_and(|it| it.0 < self.next_timer.get()) {
+        if node.next_timer().is_some_and(|it| it.0 < self.next_timer.get()) {
             self.timer_waker.borrow_mut().take().into_iter().for_each(Waker::wake);
         }
         done
@@ -62,7 +62,7 @@
     pub async fn ring(self: Rc<Hub>) {
         loop {
             self.with(|node, now, sockets| {
-                let due = node.next().filter(|due| *due < now);
+                let due = node.next_timer().filter(|due| *due < now);
                 let late = due.map_or(0.0, |due| (now - due).0);
                 TurnTimes::note(&self.turns.latest, late);
                 if late > STOOD_STILL_MS {
@@ -71,7 +71,7 @@
                 }
                 node.run_timers(now, sockets);
             });
-            let next = self.node.borrow().next().map_or(f64::INFINITY, |it| it.0);
+            let next = self.node.borrow().next_timer().map_or(f64::INFINITY, |it| it.0);
             self.next_timer.set(next);
             let mut timer = pin!(Timer::at(self.clock.instant(next)));
             let mut first = true;
--- a/daemon/src/node/shutdown.rs
+++ b/daemon/src/node/shutdown.rs
@@ -40,7 +40,7 @@
     };
     let end = async {
         serve_out(hub, longest).await;
-        hub.with(|node, now, sockets| node.end(now, sockets));
+        hub.with(|node, now, sockets| node.shut_down(now, sockets));
         flush(hub).await;
     };
     futures_lite::future::or(end, reloads).await;
@@ -55,7 +55,7 @@
     loop {
         Timer::after(LOOK_EVERY).await;
         let since = hub.now() - began;
-        let idle = hub.node.borrow().open() == 0 && hub.node.borrow().playing() == 0;
+        let idle = hub.node.borrow().open_set_ups() == 0 && hub.node.borrow().playing_sessions() == 0;
         if since >= most || (since >= ACCEPTING && idle) {
             return;
         }
@@ -78,9 +78,9 @@
 /// connections to their servers.
 async fn flush(hub: &Hub) {
     let written = async {
-        while !hub.sockets.borrow().all_out() || hub.node.borrow().owes_releases() {
+        while !hub.sockets.borrow().all_out() || hub.node.borrow().has_pending_releases() {
             Timer::after(FLUSH_LOOK_EVERY).await;
-            hub.with(|node, now, sockets| node.release_rest(now, sockets));
+            hub.with(|node, now, sockets| node.send_pending_releases(now, sockets));
         }
     };
     // Tasks write in their own turns: one look at once would find nothing said yet.
