--- a/daemon/src/node/backoff.rs
+++ b/daemon/src/node/backoff.rs
@@ -1,34 +1,36 @@
-//! How long to wait between two requests that fail.
+//! Delays between requests that fail.
 
 use std::time::Duration;
 
-const FIRST: Duration = Duration::from_millis(100);
-/// What a channel tells counts as told two seconds after it broke off, so it is asked well before that.
-const LONGEST: Duration = Duration::from_millis(400);
+/// First delay after a success.
+const INITIAL_DELAY: Duration = Duration::from_millis(100);
+/// Maximum delay. Two seconds after the channel broke off the manager is expected to know of its updates, so the
+/// channel is asked again well before that.
+const MAX_DELAY: Duration = Duration::from_millis(400);
 
-/// Waits that double up to a limit, each drawn between half of it and all of it: managers that lose the same
-/// channel at once do not all come back to it at once.
+/// Delays that double up to a limit. Each is drawn between half and all of its upper bound, so that managers
+/// that lose the same channel at once do not all return at once.
 pub(crate) struct Backoff {
     random: fastrand::Rng,
     next: Duration,
 }
 
 impl Backoff {
-    /// Draws by this seed.
+    /// Creates a backoff that draws with this seed.
     pub fn new(seed: u64) -> Backoff {
-        Backoff { random: fastrand::Rng::with_seed(seed), next: FIRST }
+        Backoff { random: fastrand::Rng::with_seed(seed), next: INITIAL_DELAY }
     }
 
-    /// The last request went well.
+    /// Starts again from the initial delay, after a successful request.
     pub fn reset(&mut self) {
-        self.next = FIRST;
+        self.next = INITIAL_DELAY;
     }
 
-    /// The wait before the next request.
+    /// Returns the delay before the next request.
     pub fn next(&mut self) -> Duration {
-        let most = self.next;
-        self.next = (self.next * 2).min(LONGEST);
-        most.mul_f64(0.5 + 0.5 * self.random.f64())
+        let upper_bound = self.next;
+        self.next = (self.next * 2).min(MAX_DELAY);
+        upper_bound.mul_f64(0.5 + 0.5 * self.random.f64())
     }
 }
 
@@ -37,26 +39,30 @@
     use super::*;
 
     #[test]
-    fn waits_double_to_the_limit_and_begin_again_after_a_success() {
+    fn delays_double_up_to_the_limit_and_restart_after_a_success() {
         let mut backoff = Backoff::new(7);
-        for most in [100, 200, 400, 400] {
-            let wait = backoff.next();
+        for upper_bound_ms in [100, 200, 400, 400] {
+            let delay = backoff.next();
             assert!(
-                wait >= Duration::from_millis(most / 2) && wait <= Duration::from_millis(most),
-                "{wait:?}"
+                delay >= Duration::from_millis(upper_bound_ms / 2)
+                    && delay <= Duration::from_millis(upper_bound_ms),
+                "{delay:?}"
             );
         }
         backoff.reset();
-        assert!(backoff.next() <= FIRST);
+        assert!(backoff.next() <= INITIAL_DELAY);
     }
 
     #[test]
-    fn three_hundred_managers_do_not_come_back_together() {
-        let mut waits: Vec<Duration> = (1..=300).map(|seed| Backoff::new(seed).next()).collect();
-        waits.sort();
-        // Of 300 over 50 ms, no tenth of that time is to have more than a third.
-        let crowded = waits.iter().map(|from| {
-            waits.iter().filter(|wait| **wait >= *from && **wait < *from + Duration::from_millis(5)).count()
+    fn three_hundred_managers_do_not_retry_at_once() {
+        let mut delays: Vec<Duration> = (1..=300).map(|seed| Backoff::new(seed).next()).collect();
+        delays.sort();
+        // The 300 delays spread over 50 ms; no window of a tenth of that may hold more than a third of them.
+        let crowded = delays.iter().map(|start| {
+            delays
+                .iter()
+                .filter(|delay| **delay >= *start && **delay < *start + Duration::from_millis(5))
+                .count()
         });
         assert!(crowded.max().unwrap() < 100);
     }
--- a/daemon/src/node/channel.rs
+++ b/daemon/src/node/channel.rs
@@ -1,4 +1,5 @@
-//! The command channel: asked again and again from the last event that came whole.
+//! Client of the command channel: requests events again and again, from the last one that was received
+//! completely.
 
 use super::backoff::Backoff;
 use super::hub::Hub;
@@ -12,63 +13,71 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, warn};
 
-/// The channel is asked to answer within this time, so that one that has stopped is found out soon.
+/// Time within which the channel is asked to answer, so that one that has stopped is noticed soon.
 const LONG_POLL: Duration = Duration::from_millis(1_000);
-/// An answer that is so much later than asked for does not come any more.
-const LATE: Duration = Duration::from_millis(300);
-const CONNECT: Duration = Duration::from_millis(300);
-const KEPT_IDLE: Duration = Duration::from_secs(20);
-const MOST_BYTES: usize = 4 << 20;
+/// Extra time to wait for an answer; one that is later than this is given up.
+const ANSWER_GRACE: Duration = Duration::from_millis(300);
+/// Time within which a connection to the channel has to come up.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Time for which an idle connection to the channel is kept.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum size of an answer in bytes.
+const MAX_ANSWER_BYTES: usize = 4 << 20;
 
-/// What one request to the channel came to.
-enum Asked {
+/// Result of one request to the channel.
+enum PollResult {
+    /// The events of a valid answer.
     Events(Events),
-    /// No whole answer in time, or none that could be read.
-    Nothing,
+    /// There was no complete answer in time, or none that could be read.
+    NoAnswer,
 }
 
-/// Follows the channel, from one address to the next, as long as the program runs.
+/// Follows the channel as long as the program runs, also across changes of its address.
 pub(crate) async fn follow(hub: Rc<Hub>, seed: u64) {
     let mut backoff = Backoff::new(seed);
     loop {
         let address = hub.channel.borrow().clone();
-        let client = Client::new(hub.exec, CONNECT, 1, KEPT_IDLE);
-        // At a new address all begins anew, but for the numbers.
-        futures_lite::future::or(moved(&hub, &address), listen(&hub, &client, &address, &mut backoff)).await;
+        let client = Client::new(hub.executor, CONNECT_TIMEOUT, 1, IDLE_TIMEOUT);
+        // At a new address everything starts again, except for the event numbers.
+        futures_lite::future::or(
+            address_changed(&hub, &address),
+            poll_channel(&hub, &client, &address, &mut backoff),
+        )
+        .await;
         hub.node.borrow_mut().channel_moved();
         backoff.reset();
     }
 }
 
-/// Ends when the channel is another than this.
-async fn moved(hub: &Hub, address: &str) {
-    poll_fn(|cx| {
+/// Completes when the configured channel has another address than this.
+async fn address_changed(hub: &Hub, address: &str) {
+    poll_fn(|context| {
         if *hub.channel.borrow() != address {
             return Poll::Ready(());
         }
-        *hub.moved.borrow_mut() = Some(cx.waker().clone());
+        *hub.channel_changed.borrow_mut() = Some(context.waker().clone());
         Poll::Pending
     })
     .await;
 }
 
-async fn listen(hub: &Hub, client: &Client, address: &str, backoff: &mut Backoff) {
+async fn poll_channel(hub: &Hub, client: &Client, address: &str, backoff: &mut Backoff) {
     let warned = Cell::new(false);
     loop {
-        let asked = Instant::now();
-        match ask(hub, client, address, &warned).await {
-            Asked::Events(news) => {
+        let requested_at = Instant::now();
+        match request_events(hub, client, address, &warned).await {
+            PollResult::Events(events) => {
                 let last = hub.node.borrow().last_event();
-                hub.with(|node, now, sockets| node.list_events(now, &news, sockets));
-                // One that answers at once with nothing new would be asked in a tight loop.
-                let idle = hub.node.borrow().last_event() == last && asked.elapsed() < LONG_POLL / 2;
+                hub.with_node(|node, now, sockets| node.list_events(now, &events, sockets));
+                // A channel that answers at once with nothing new must not be asked in a tight loop.
+                let idle = hub.node.borrow().last_event() == last && requested_at.elapsed() < LONG_POLL / 2;
                 if idle {
                     Timer::after(backoff.next()).await;
                 } else {
                     backoff.reset();
                 }
             }
-            Asked::Nothing => {
+            PollResult::NoAnswer => {
                 debug!(address, "the command channel gave no answer");
                 Timer::after(backoff.next()).await;
             }
@@ -76,41 +85,44 @@
     }
 }
 
-async fn ask(hub: &Hub, client: &Client, address: &str, warned: &Cell<bool>) -> Asked {
+async fn request_events(hub: &Hub, client: &Client, address: &str, warned: &Cell<bool>) -> PollResult {
     let resume = hub.node.borrow().resume_number();
     let path = format!("/cmd/next?resume={resume}&block={}", LONG_POLL.as_millis());
     let request = Client::request(Method::GET, address, &path);
-    let answered = async { client.exchange(address, request, MOST_BYTES, || true).await.ok() };
-    let late = async {
-        Timer::after(LONG_POLL + LATE).await;
+    let exchange = async { client.exchange(address, request, MAX_ANSWER_BYTES, || true).await.ok() };
+    let timeout = async {
+        Timer::after(LONG_POLL + ANSWER_GRACE).await;
         None
     };
-    let answer = futures_lite::future::or(answered, late).await;
+    let answer = futures_lite::future::or(exchange, timeout).await;
     match answer.filter(|answer| answer.status.is_success()) {
-        Some(answer) => read(&answer.body, address, warned),
-        None => Asked::Nothing,
+        Some(answer) => read_answer(&answer.body, address, warned),
+        None => PollResult::NoAnswer,
     }
 }
 
-/// What broke off in its middle, or can't be read, is dropped whole.
-fn read(body: &[u8], address: &str, warned: &Cell<bool>) -> Asked {
+/// Reads an answer. One that is incomplete or invalid is dropped as a whole.
+fn read_answer(body: &[u8], address: &str, warned: &Cell<bool>) -> PollResult {
     let Ok(value) = serde_json::from_slice(body) else {
-        return Asked::Nothing;
+        return PollResult::NoAnswer;
     };
     match events::read(&value) {
         Ok(events) => {
             if events.dropped_count > 0 && !warned.replace(true) {
                 let first = events.dropped.first().map(ToString::to_string).unwrap_or_default();
                 let count = events.dropped_count;
-                warn!(address, count, first, "entries of the list are dropped; told once for this channel");
+                warn!(
+                    address,
+                    count, first, "entries of the server list are dropped; this is logged once per channel"
+                );
             }
-            Asked::Events(events)
+            PollResult::Events(events)
         }
         Err(error) => {
             if !warned.replace(true) {
-                warn!(address, %error, "events that can't be read; told once for this channel");
+                warn!(address, %error, "the events cannot be read; this is logged once per channel");
             }
-            Asked::Nothing
+            PollResult::NoAnswer
         }
     }
 }
--- a/daemon/src/node/connection_io.rs
+++ b/daemon/src/node/connection_io.rs
@@ -1,7 +1,7 @@
-//! One connection's talk: reads and writes, then the last word and what still comes after it.
+//! Input and output of one connection: reading and writing, and the final exchange when it is closed.
 
 use super::lingering::Lingering;
-use super::output::{Out, Unsent};
+use super::output::{OutputBuffer, SharedOutput};
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use ottersail_net::{Stream, Timer};
 use std::future::poll_fn;
@@ -9,211 +9,226 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-const PIECE: usize = 16 * 1024;
-/// Pieces read in a row before others have their turn.
-const IN_A_ROW: usize = 4;
-const PARTING: Duration = Duration::from_millis(1_000);
+/// Size of one read in bytes.
+const CHUNK_BYTES: usize = 16 * 1024;
+/// Maximum number of reads in a row before other tasks have their turn.
+const CHUNKS_PER_TURN: usize = 4;
+/// Time to wait for the other side to close after this side has closed.
+const HALF_CLOSE_WAIT: Duration = Duration::from_millis(1_000);
 
-/// How a conversation ended.
+/// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Ending {
-    /// The other side closed in good order.
+    /// The other side closed it in good order.
     Closed,
-    /// It broke.
+    /// The connection broke.
     Broken,
-    /// This side closed it, and the other did not in time, or was not waited for.
-    Ours,
+    /// This side closed it, and the other side did not close in time or was not waited for.
+    ClosedHere,
 }
 
-/// What one turn has read.
-pub(crate) enum Heard<'a> {
-    /// The other side may say more.
+/// Bytes that one turn has read.
+pub(crate) enum Received<'a> {
+    /// The other side may send more.
     More(&'a [u8]),
-    /// The other side has closed, or the connection broke, after these bytes.
+    /// The other side has closed or the connection broke after these bytes.
     Closed(&'a [u8]),
 }
 
-/// Reads and writes until the other side closes, something breaks, or the last word is out. What a turn reads
-/// is told at once, so that a close is known before what came with it is acted on.
-pub(crate) async fn converse(
+/// Reads and writes until the other side closes, the connection breaks, or the final bytes are written. The
+/// bytes of one turn are reported at once, so that a close is known before the bytes that came with it are
+/// handled.
+pub(crate) async fn run_connection(
     mut stream: Stream,
-    out: &Out,
-    mut heard: impl FnMut(Heard),
+    output: &SharedOutput,
+    mut on_received: impl FnMut(Received),
     linger: Duration,
     lingering: &Lingering,
 ) -> Ending {
-    let mut buffer = vec![0u8; PIECE];
-    let ending = poll_fn(|cx| poll_turn(&mut stream, out, &mut buffer, &mut heard, cx)).await;
-    let (half_closed, overrun) = (out.borrow().half_closed, out.borrow().overrun);
+    let mut buffer = vec![0u8; CHUNK_BYTES];
+    let ending =
+        poll_fn(|context| poll_turn(&mut stream, output, &mut buffer, &mut on_received, context)).await;
+    let (half_closed, overrun) = (output.borrow().half_closed, output.borrow().overrun);
     if half_closed && !overrun {
-        return hear_out(stream, &mut buffer, &mut heard).await;
+        return read_until_closed(stream, &mut buffer, &mut on_received).await;
     }
-    // What is still to be said goes out, and what still comes is read and dropped: closing on unread bytes
-    // would be a reset, which may overtake the last word.
-    let worth =
-        |unsent: &Unsent| unsent.last && !unsent.overrun && (unsent.spoken || !unsent.bytes.is_empty());
-    if !worth(&out.borrow()) {
+    // The remaining output is written, and further input is read and dropped: a close with unread input would
+    // send a reset, which may overtake the final bytes.
+    let should_linger = |output: &OutputBuffer| {
+        output.closing && !output.overrun && (output.has_written || !output.bytes.is_empty())
+    };
+    if !should_linger(&output.borrow()) {
         return ending;
     }
     if let Some(_slot) = lingering.enter() {
-        let late = Timer::after(linger);
-        futures_lite::future::or(drain(stream, out, &mut buffer), late).await;
+        let timeout = Timer::after(linger);
+        futures_lite::future::or(drain(stream, output, &mut buffer), timeout).await;
     }
     ending
 }
 
-/// One turn: writes what waits, reads what has come, and tells it.
+/// Runs one turn: writes pending output, reads available input, and reports it.
 fn poll_turn(
     stream: &mut Stream,
-    out: &Out,
+    output: &SharedOutput,
     buffer: &mut Vec<u8>,
-    heard: &mut impl FnMut(Heard),
-    cx: &mut Context,
+    on_received: &mut impl FnMut(Received),
+    context: &mut Context,
 ) -> Poll<Ending> {
-    if let Some(ending) = write_out(stream, out, cx).ending() {
+    if let Some(ending) = write_out(stream, output, context).ending() {
         return Poll::Ready(ending);
     }
-    let (read, state) = read_turn(stream, buffer, cx);
+    let (read, state) = read_turn(stream, buffer, context);
     let bytes = &buffer[..read];
     match state {
-        TurnEnd::Closed(ending) => {
-            heard(Heard::Closed(bytes));
+        ReadEnd::Closed(ending) => {
+            on_received(Received::Closed(bytes));
             return Poll::Ready(ending);
         }
-        _ if read > 0 => heard(Heard::More(bytes)),
+        _ if read > 0 => on_received(Received::More(bytes)),
         _ => {}
     }
-    // What was just read may have left something to say.
-    if let Some(ending) = write_out(stream, out, cx).ending() {
+    // Handling the input may have produced output.
+    if let Some(ending) = write_out(stream, output, context).ending() {
         return Poll::Ready(ending);
     }
-    if matches!(state, TurnEnd::Full) {
-        cx.waker().wake_by_ref();
+    if matches!(state, ReadEnd::Full) {
+        context.waker().wake_by_ref();
     }
-    // Hundreds of connections must not each keep what one burst took.
-    buffer.truncate(PIECE);
-    buffer.shrink_to(PIECE);
+    // Hundreds of connections must not each keep the memory of one burst.
+    buffer.truncate(CHUNK_BYTES);
+    buffer.shrink_to(CHUNK_BYTES);
     Poll::Pending
 }
 
 /// How the reading of one turn ended.
 #[derive(Clone, Copy)]
-enum TurnEnd {
-    /// Nothing more has come yet.
+enum ReadEnd {
+    /// No more input is available yet.
     Empty,
-    /// More may be there; others have their turn first.
+    /// More input may be available; other tasks have their turn first.
     Full,
+    /// The connection has ended.
     Closed(Ending),
 }
 
-/// Reads until nothing more is there, for a few pieces at most; the count of bytes now in the buffer.
-fn read_turn(stream: &mut Stream, buffer: &mut Vec<u8>, cx: &mut Context) -> (usize, TurnEnd) {
+/// Reads the available input, up to a few chunks; returns the number of bytes in the buffer.
+fn read_turn(stream: &mut Stream, buffer: &mut Vec<u8>, context: &mut Context) -> (usize, ReadEnd) {
     let mut filled = 0;
     loop {
         if filled == buffer.len() {
-            if filled >= IN_A_ROW * PIECE {
-                return (filled, TurnEnd::Full);
+            if filled >= CHUNKS_PER_TURN * CHUNK_BYTES {
+                return (filled, ReadEnd::Full);
             }
-            buffer.resize(filled + PIECE, 0);
+            buffer.resize(filled + CHUNK_BYTES, 0);
         }
-        match Pin::new(&mut *stream).poll_read(cx, &mut buffer[filled..]) {
-            Poll::Ready(Ok(0)) => return (filled, TurnEnd::Closed(Ending::Closed)),
-            Poll::Ready(Err(_)) => return (filled, TurnEnd::Closed(Ending::Broken)),
+        match Pin::new(&mut *stream).poll_read(context, &mut buffer[filled..]) {
+            Poll::Ready(Ok(0)) => return (filled, ReadEnd::Closed(Ending::Closed)),
+            Poll::Ready(Err(_)) => return (filled, ReadEnd::Closed(Ending::Broken)),
             Poll::Ready(Ok(count)) => filled += count,
-            Poll::Pending => return (filled, TurnEnd::Empty),
+            Poll::Pending => return (filled, ReadEnd::Empty),
         }
     }
 }
 
-/// Closes this side, and hears what still comes until the other side closes, for a while.
-async fn hear_out(mut stream: Stream, buffer: &mut [u8], heard: &mut impl FnMut(Heard)) -> Ending {
+/// Closes this side, and reports further input until the other side closes, for a limited time.
+async fn read_until_closed(
+    mut stream: Stream,
+    buffer: &mut [u8],
+    on_received: &mut impl FnMut(Received),
+) -> Ending {
     _ = Pin::new(&mut stream).close().await;
-    let rest = async {
+    let read_all = async {
         loop {
             match stream.read(buffer).await {
                 Ok(0) => return Ending::Closed,
-                Ok(count) => heard(Heard::More(&buffer[..count])),
+                Ok(count) => on_received(Received::More(&buffer[..count])),
                 Err(_) => return Ending::Broken,
             }
         }
     };
-    futures_lite::future::or(rest, async {
-        Timer::after(PARTING).await;
-        Ending::Ours
+    futures_lite::future::or(read_all, async {
+        Timer::after(HALF_CLOSE_WAIT).await;
+        Ending::ClosedHere
     })
     .await
 }
 
-/// Writes the rest, closes this side, and drops what still comes until the other side closes.
-async fn drain(mut stream: Stream, out: &Out, buffer: &mut [u8]) {
-    let mut ended = false;
-    poll_fn(|cx| {
-        if !ended {
-            match write_out(&mut stream, out, cx) {
-                Written::Broken => return Poll::Ready(()),
-                Written::So => {}
-                Written::Last => {
-                    ended = true;
-                    _ = Pin::new(&mut stream).poll_close(cx);
+/// Writes the remaining output, closes this side, and drops further input until the other side closes.
+async fn drain(mut stream: Stream, output: &SharedOutput, buffer: &mut [u8]) {
+    let mut closed = false;
+    poll_fn(|context| {
+        if !closed {
+            match write_out(&mut stream, output, context) {
+                WriteResult::Broken => return Poll::Ready(()),
+                WriteResult::Open => {}
+                WriteResult::Finished => {
+                    closed = true;
+                    _ = Pin::new(&mut stream).poll_close(context);
                 }
             }
         }
-        for _ in 0..IN_A_ROW {
-            match Pin::new(&mut stream).poll_read(cx, buffer) {
+        for _ in 0..CHUNKS_PER_TURN {
+            match Pin::new(&mut stream).poll_read(context, buffer) {
                 Poll::Ready(Ok(0) | Err(_)) => return Poll::Ready(()),
                 Poll::Ready(Ok(_)) => {}
                 Poll::Pending => return Poll::Pending,
             }
         }
-        cx.waker().wake_by_ref();
+        context.waker().wake_by_ref();
         Poll::Pending
     })
     .await;
 }
 
-enum Written {
-    So,
-    /// All is out, and nothing follows.
-    Last,
+/// Result of writing the pending output.
+enum WriteResult {
+    /// The connection stays open; output may be left.
+    Open,
+    /// All output is written, and nothing follows.
+    Finished,
+    /// The connection broke, or its peer was too slow.
     Broken,
 }
 
-impl Written {
+impl WriteResult {
+    /// Returns how the connection ended, if it did.
     fn ending(&self) -> Option<Ending> {
         match self {
-            Written::So => None,
-            Written::Last => Some(Ending::Ours),
-            Written::Broken => Some(Ending::Broken),
+            WriteResult::Open => None,
+            WriteResult::Finished => Some(Ending::ClosedHere),
+            WriteResult::Broken => Some(Ending::Broken),
         }
     }
 }
 
-fn write_out(stream: &mut Stream, out: &Out, cx: &mut Context) -> Written {
-    let mut out = out.borrow_mut();
-    if out.overrun {
-        return Written::Broken;
+/// Writes as much of the pending output as the socket takes.
+fn write_out(stream: &mut Stream, output: &SharedOutput, context: &mut Context) -> WriteResult {
+    let mut output = output.borrow_mut();
+    if output.overrun {
+        return WriteResult::Broken;
     }
     let mut sent = 0;
-    while sent < out.bytes.len() {
-        match Pin::new(&mut *stream).poll_write(cx, &out.bytes[sent..]) {
+    while sent < output.bytes.len() {
+        match Pin::new(&mut *stream).poll_write(context, &output.bytes[sent..]) {
             Poll::Ready(Ok(count)) if count > 0 => {
                 sent += count;
-                out.spoken = true;
+                output.has_written = true;
             }
-            Poll::Ready(_) => return Written::Broken,
+            Poll::Ready(_) => return WriteResult::Broken,
             Poll::Pending => break,
         }
     }
-    out.bytes.drain(..sent);
-    if out.bytes.is_empty() && out.last {
-        return Written::Last;
+    output.bytes.drain(..sent);
+    if output.bytes.is_empty() && output.closing {
+        return WriteResult::Finished;
     }
-    if out.bytes.is_empty() && out.bytes.capacity() > PIECE {
-        out.bytes.shrink_to(PIECE);
+    if output.bytes.is_empty() && output.bytes.capacity() > CHUNK_BYTES {
+        output.bytes.shrink_to(CHUNK_BYTES);
     }
-    match &mut out.waker {
-        Some(waker) => waker.clone_from(cx.waker()),
-        None => out.waker = Some(cx.waker().clone()),
+    match &mut output.waker {
+        Some(waker) => waker.clone_from(context.waker()),
+        None => output.waker = Some(context.waker().clone()),
     }
-    Written::So
+    WriteResult::Open
 }
--- a/daemon/src/node/connection_tasks.rs
+++ b/daemon/src/node/connection_tasks.rs
@@ -1,8 +1,8 @@
-//! The connections of a manager: each has one task, which reads and writes.
+//! Tasks of a manager's connections: one task per connection reads and writes.
 
-use super::connection_io::{converse, Ending, Heard};
+use super::connection_io::{run_connection, Ending, Received};
 use super::hub::Hub;
-use super::output::Out;
+use super::output::SharedOutput;
 use ottersail::time::Ms;
 use ottersail_net::{Stream, Timer};
 use ottersail_platform::node::{ConnectionId, ConnectionLoss};
@@ -13,85 +13,97 @@
 use std::task::Poll;
 use std::time::Duration;
 
-/// After the last word a connection is read for so long, so that the word is not lost to a reset: a client
-/// may still be sending what was refused at its head. A server's may go on for ever, and is read for a moment
-/// only.
-const LINGER: Duration = Duration::from_millis(2_500);
-const LONGEST_CONNECT_MS: f64 = 60_000.0;
-const LINGER_AT_SERVER: Duration = Duration::from_millis(300);
+/// Time for which a client's connection is read after the final bytes were written, so that a reset does not
+/// discard them: the client may still be sending a request that was refused by its head.
+const CLIENT_LINGER: Duration = Duration::from_millis(2_500);
+/// Upper limit of the connect time-output, in milliseconds.
+const MAX_CONNECT_TIMEOUT_MS: f64 = 60_000.0;
+/// Error number: the system has no more file descriptors.
+const ENFILE: i32 = 23;
+/// Error number: the process has no more file descriptors.
+const EMFILE: i32 = 24;
+/// The same time for a server's connection. A server may send without end, so its input is read only briefly.
+const SERVER_LINGER: Duration = Duration::from_millis(300);
 
-pub(crate) fn serve_viewer(hub: Rc<Hub>, connection_id: ConnectionId, stream: TcpStream) {
-    let out = Out::default();
-    hub.sockets.borrow_mut().outs.insert(connection_id, out.clone());
-    hub.exec
+/// Starts the task of a client's connection.
+pub(crate) fn serve_client(hub: Rc<Hub>, connection_id: ConnectionId, stream: TcpStream) {
+    let output = SharedOutput::default();
+    hub.sockets.borrow_mut().outputs.insert(connection_id, output.clone());
+    hub.executor
         .spawn(async move {
             if let Ok(stream) = Stream::new(stream) {
-                let heard = |heard: Heard| {
-                    hub.with(|node, now, sockets| match heard {
-                        Heard::More(bytes) => node.client_data(now, connection_id, bytes, sockets),
-                        Heard::Closed(bytes) => node.client_final_data(now, connection_id, bytes, sockets),
+                let on_received = |received: Received| {
+                    hub.with_node(|node, now, sockets| match received {
+                        Received::More(bytes) => node.client_data(now, connection_id, bytes, sockets),
+                        Received::Closed(bytes) => node.client_final_data(now, connection_id, bytes, sockets),
                     });
                 };
                 let lingering = hub.sockets.borrow().lingering.clone();
-                converse(stream, &out, heard, LINGER, &lingering).await;
+                run_connection(stream, &output, on_received, CLIENT_LINGER, &lingering).await;
             }
-            hub.sockets.borrow_mut().outs.remove(&connection_id);
-            hub.with(|node, now, sockets| node.client_closed(now, connection_id, sockets));
+            hub.sockets.borrow_mut().outputs.remove(&connection_id);
+            hub.with_node(|node, now, sockets| node.client_closed(now, connection_id, sockets));
         })
         .detach();
 }
 
+/// Opens a connection to a server and runs it until it ends.
 pub(crate) async fn serve_server(
     hub: Rc<Hub>,
     connection_id: ConnectionId,
     address: Option<SocketAddr>,
-    connect: Ms,
-    out: Out,
+    connect_timeout: Ms,
+    output: SharedOutput,
 ) {
-    let how = match dialed(address, connect, &out).await {
+    let loss = match connect(address, connect_timeout, &output).await {
         Ok(stream) => {
             _ = stream.get_ref().set_nodelay(true);
-            hub.with(|node, now, sockets| node.server_connected(now, connection_id, sockets));
-            let heard = |heard: Heard| {
-                let (Heard::More(bytes) | Heard::Closed(bytes)) = heard;
+            hub.with_node(|node, now, sockets| node.server_connected(now, connection_id, sockets));
+            let on_received = |received: Received| {
+                let (Received::More(bytes) | Received::Closed(bytes)) = received;
                 if !bytes.is_empty() {
-                    hub.with(|node, now, sockets| node.server_data(now, connection_id, bytes, sockets));
+                    hub.with_node(|node, now, sockets| node.server_data(now, connection_id, bytes, sockets));
                 }
             };
             let lingering = hub.sockets.borrow().lingering.clone();
-            match converse(stream, &out, heard, LINGER_AT_SERVER, &lingering).await {
+            match run_connection(stream, &output, on_received, SERVER_LINGER, &lingering).await {
                 Ending::Closed => ConnectionLoss::Closed,
-                Ending::Broken | Ending::Ours => ConnectionLoss::Reset,
+                Ending::Broken | Ending::ClosedHere => ConnectionLoss::Reset,
             }
         }
-        Err(how) => how,
+        Err(loss) => loss,
     };
-    hub.sockets.borrow_mut().outs.remove(&connection_id);
-    hub.with(|node, now, sockets| node.server_disconnected(now, connection_id, how, sockets));
+    hub.sockets.borrow_mut().outputs.remove(&connection_id);
+    hub.with_node(|node, now, sockets| node.server_disconnected(now, connection_id, loss, sockets));
 }
 
-async fn dialed(address: Option<SocketAddr>, connect: Ms, out: &Out) -> Result<Stream, ConnectionLoss> {
+async fn connect(
+    address: Option<SocketAddr>,
+    connect_timeout: Ms,
+    output: &SharedOutput,
+) -> Result<Stream, ConnectionLoss> {
     let address = address.ok_or(ConnectionLoss::TimedOut)?;
-    let up = async {
-        Stream::connect(address).await.map_err(|trouble| match trouble.kind() {
+    let connecting = async {
+        Stream::connect(address).await.map_err(|error| match error.kind() {
             ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset => ConnectionLoss::Refused,
             ErrorKind::AddrNotAvailable => ConnectionLoss::LocalFault,
-            _ if matches!(trouble.raw_os_error(), Some(23 | 24)) => ConnectionLoss::LocalFault,
+            _ if matches!(error.raw_os_error(), Some(ENFILE | EMFILE)) => ConnectionLoss::LocalFault,
             _ => ConnectionLoss::TimedOut,
         })
     };
-    let late = async {
-        Timer::after(Duration::from_secs_f64(connect.0.clamp(1.0, LONGEST_CONNECT_MS) / 1e3)).await;
+    let timeout = async {
+        Timer::after(Duration::from_secs_f64(connect_timeout.0.clamp(1.0, MAX_CONNECT_TIMEOUT_MS) / 1e3))
+            .await;
         Err(ConnectionLoss::TimedOut)
     };
-    // Hung up before it came up: nobody waits for it.
-    let off = poll_fn(|cx| {
-        let mut out = out.borrow_mut();
-        if out.last {
+    // The connection was closed before it came up; nobody waits for it.
+    let cancelled = poll_fn(|context| {
+        let mut output = output.borrow_mut();
+        if output.closing {
             return Poll::Ready(Err(ConnectionLoss::TimedOut));
         }
-        out.waker = Some(cx.waker().clone());
+        output.waker = Some(context.waker().clone());
         Poll::Pending
     });
-    futures_lite::future::or(up, futures_lite::future::or(late, off)).await
+    futures_lite::future::or(connecting, futures_lite::future::or(timeout, cancelled)).await
 }
--- a/daemon/src/node/figures.rs
+++ b/daemon/src/node/figures.rs
@@ -1,4 +1,4 @@
-//! What the manager counts, in its log.
+//! Regular log lines with the manager's counters.
 
 use super::hub::Hub;
 use ottersail_net::Timer;
@@ -6,22 +6,25 @@
 use std::time::Duration;
 use tracing::info;
 
-const EVERY: Duration = Duration::from_secs(10);
+/// Interval between two log lines.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Logs the figures as long as the program runs.
+/// Logs the counters as long as the program runs.
 pub(crate) async fn log_regularly(hub: Rc<Hub>) {
     loop {
-        Timer::after(EVERY).await;
+        Timer::after(LOG_INTERVAL).await;
         log(&hub);
     }
 }
 
-/// One line with counts since the start, what is held now, and the longest turn and lateness since the last
-/// line, in milliseconds.
+/// Logs one line: counts since the start, current state, and the longest turn and the largest timer delay
+/// since the last line, in milliseconds.
 pub(crate) fn log(hub: &Hub) {
     let node = hub.node.borrow();
-    let (connections, unwatched) = node.server_connections();
-    let (longest_turn_ms, latest_timer_ms) = (hub.turns.longest.take(), hub.turns.latest.take());
+    let connections = node.server_connections();
+    let (connections, unwatched) = (connections.open, connections.unwatched_servers);
+    let (longest_turn_ms, latest_timer_ms) =
+        (hub.turn_times.longest_ms.take(), hub.turn_times.max_timer_delay_ms.take());
     let (open, playing) = (node.open_set_ups(), node.playing_sessions());
     info!(open, playing, connections, unwatched, longest_turn_ms, latest_timer_ms, counters = %node.counters(), "figures");
 }
--- a/daemon/src/node/lingering.rs
+++ b/daemon/src/node/lingering.rs
@@ -1,27 +1,27 @@
-//! Connections whose last word is out and whose other side has not closed yet.
+//! Limits the number of connections whose final bytes are written and whose other side has not closed yet.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts them. Each holds a descriptor, so past the limit a connection is closed at once.
+/// Counter of these connections. Each holds a descriptor, so above the limit a connection is closed at once.
 #[derive(Clone, Default)]
 pub(crate) struct Lingering {
     count: Rc<Cell<usize>>,
-    most: usize,
+    limit: usize,
 }
 
-/// The place of one of them, given back when dropped.
+/// A counted connection; uncounted when dropped.
 pub(crate) struct Slot(Rc<Cell<usize>>);
 
 impl Lingering {
-    /// At most so many at once.
-    pub fn new(most: usize) -> Lingering {
-        Lingering { count: Rc::default(), most }
+    /// Creates a counter with this limit.
+    pub fn new(limit: usize) -> Lingering {
+        Lingering { count: Rc::default(), limit }
     }
 
-    /// `None` if there are as many as there may be.
+    /// Counts one more connection; returns `None` at the limit.
     pub fn enter(&self) -> Option<Slot> {
-        if self.count.get() >= self.most {
+        if self.count.get() >= self.limit {
             return None;
         }
         self.count.set(self.count.get() + 1);
--- a/daemon/src/node/output.rs
+++ b/daemon/src/node/output.rs
@@ -1,4 +1,4 @@
-//! What the node wants of its connections: a bounded buffer for each of what is to be said.
+//! Implements the node's transport on sockets, with a bounded output buffer per connection.
 
 use super::lingering::Lingering;
 use ottersail_platform::node::{ConnectionId, Transport};
@@ -8,107 +8,115 @@
 use std::rc::{Rc, Weak};
 use std::task::Waker;
 
-/// What waits to be written to one peer; one that reads no more than this behind is cut off.
-const MOST_UNSENT: usize = 256 * 1024;
+/// Maximum number of unsent bytes per connection; a peer that reads too slowly is cut off.
+const MAX_UNSENT_BYTES: usize = 256 * 1024;
 
+/// Output of one connection that is not written yet.
 #[derive(Default)]
-pub(crate) struct Unsent {
+pub(crate) struct OutputBuffer {
     pub bytes: Vec<u8>,
-    /// Nothing more is said once this is out.
-    pub last: bool,
+    /// The connection is closed once `bytes` is written.
+    pub closing: bool,
+    /// The buffer was full: the connection is cut off.
     pub overrun: bool,
-    /// After the last word what comes still counts.
+    /// Input is still handled after this side has closed.
     pub half_closed: bool,
-    /// Something was written, which a reset could overtake.
-    pub spoken: bool,
+    /// Bytes were written, which a reset could overtake.
+    pub has_written: bool,
+    /// Wakes the connection's task when there is output.
     pub waker: Option<Waker>,
 }
 
-pub(crate) type Out = Rc<RefCell<Unsent>>;
+/// Output buffer shared by the node's transport and the connection's task.
+pub(crate) type SharedOutput = Rc<RefCell<OutputBuffer>>;
 
-/// How a connection to a server is begun: its number, its address, and what is to be said on it.
-pub(crate) type Dial = Box<dyn Fn(ConnectionId, Option<SocketAddr>, Out)>;
+/// Opens a connection to a server, with its id, its address if it could be parsed, and its output buffer.
+pub(crate) type OpenConnection = Box<dyn Fn(ConnectionId, Option<SocketAddr>, SharedOutput)>;
 
-/// What the node wants, carried out.
+/// The output buffers of all connections.
 #[derive(Default)]
 pub(crate) struct Sockets {
-    /// Begins a connection to a server; until it is there, nothing is dialled.
-    pub dial: Option<Dial>,
-    pub outs: BTreeMap<ConnectionId, Out>,
-    /// Connections that are ended while something is still to be written.
-    closing: Vec<Weak<RefCell<Unsent>>>,
+    /// Opens a connection to a server; until it is set, no connection is opened.
+    pub open_connection: Option<OpenConnection>,
+    /// Buffers of the connections that are not closing.
+    pub outputs: BTreeMap<ConnectionId, SharedOutput>,
+    /// Buffers of closing connections with bytes that are not written yet.
+    closing: Vec<Weak<RefCell<OutputBuffer>>>,
     pub lingering: Lingering,
 }
 
 impl Sockets {
-    /// All that was said is written, also on connections that are ended.
-    pub fn all_out(&self) -> bool {
-        let written = |out: &Out| out.borrow().bytes.is_empty();
-        self.outs.values().all(written)
-            && self.closing.iter().filter_map(Weak::upgrade).all(|out| written(&out))
+    /// Returns whether all output is written, including that of closing connections.
+    pub fn all_written(&self) -> bool {
+        let is_written = |output: &SharedOutput| output.borrow().bytes.is_empty();
+        self.outputs.values().all(is_written)
+            && self.closing.iter().filter_map(Weak::upgrade).all(|output| is_written(&output))
     }
 
-    fn say(&mut self, connection: ConnectionId, bytes: &[u8]) {
-        let Some(out) = self.outs.get(&connection) else {
+    /// Appends bytes to a connection's output, unless it is closing.
+    fn write(&mut self, connection: ConnectionId, bytes: &[u8]) {
+        let Some(output) = self.outputs.get(&connection) else {
             return;
         };
-        let mut out = out.borrow_mut();
-        if out.last {
+        let mut output = output.borrow_mut();
+        if output.closing {
             return;
         }
-        if out.bytes.len() + bytes.len() > MOST_UNSENT {
-            out.overrun = true;
+        if output.bytes.len() + bytes.len() > MAX_UNSENT_BYTES {
+            output.overrun = true;
         } else {
-            out.bytes.extend_from_slice(bytes);
+            output.bytes.extend_from_slice(bytes);
         }
-        out.waker.take().into_iter().for_each(Waker::wake);
+        output.waker.take().into_iter().for_each(Waker::wake);
     }
 
-    fn last(&mut self, connection: ConnectionId) {
-        let Some(out) = self.outs.remove(&connection) else {
+    /// Closes a connection once its output is written.
+    fn close(&mut self, connection: ConnectionId) {
+        let Some(output) = self.outputs.remove(&connection) else {
             return;
         };
-        let unsent =
-            |out: &Weak<RefCell<Unsent>>| out.upgrade().is_some_and(|out| !out.borrow().bytes.is_empty());
-        self.closing.retain(unsent);
-        if !out.borrow().bytes.is_empty() {
-            self.closing.push(Rc::downgrade(&out));
+        let is_unsent = |output: &Weak<RefCell<OutputBuffer>>| {
+            output.upgrade().is_some_and(|output| !output.borrow().bytes.is_empty())
+        };
+        self.closing.retain(is_unsent);
+        if !output.borrow().bytes.is_empty() {
+            self.closing.push(Rc::downgrade(&output));
         }
-        let mut unsent = out.borrow_mut();
-        unsent.last = true;
-        unsent.waker.take().into_iter().for_each(Waker::wake);
+        let mut buffer = output.borrow_mut();
+        buffer.closing = true;
+        buffer.waker.take().into_iter().for_each(Waker::wake);
     }
 }
 
 impl Transport for Sockets {
     fn write_client(&mut self, connection: ConnectionId, bytes: &[u8]) {
-        self.say(connection, bytes);
+        self.write(connection, bytes);
     }
 
     fn close_client(&mut self, connection: ConnectionId) {
-        self.last(connection);
+        self.close(connection);
     }
 
     fn connect(&mut self, connection: ConnectionId, address: &str) {
-        let out = Out::default();
-        self.outs.insert(connection, out.clone());
-        if let Some(dial) = &self.dial {
-            dial(connection, address.parse::<SocketAddr>().ok(), out);
+        let output = SharedOutput::default();
+        self.outputs.insert(connection, output.clone());
+        if let Some(open_connection) = &self.open_connection {
+            open_connection(connection, address.parse::<SocketAddr>().ok(), output);
         }
     }
 
     fn write_server(&mut self, connection: ConnectionId, bytes: &[u8]) {
-        self.say(connection, bytes);
+        self.write(connection, bytes);
     }
 
     fn close_server(&mut self, connection: ConnectionId) {
-        self.last(connection);
+        self.close(connection);
     }
 
     fn half_close(&mut self, connection: ConnectionId) {
-        if let Some(out) = self.outs.get(&connection) {
-            out.borrow_mut().half_closed = true;
+        if let Some(output) = self.outputs.get(&connection) {
+            output.borrow_mut().half_closed = true;
         }
-        self.last(connection);
+        self.close(connection);
     }
 }
--- a/daemon/src/node/shutdown.rs
+++ b/daemon/src/node/shutdown.rs
@@ -9,84 +9,87 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// New requests are still taken for so long at least: clients learn late that this manager ends.
-const ACCEPTING: Ms = Ms(800.0);
-/// The longest deadline counts as no more than this towards the time that is left.
-const LONGEST_DEADLINE: Ms = Ms(3_000.0);
-/// SIGKILL may come 0.7 s past the longest deadline; open requests are answered so long past it.
-const PAST_DEADLINE: Ms = Ms(500.0);
-/// Clients that read slowly have so long for the last answers and releases. SIGKILL may come before that; an
-/// earlier end would lose the same.
-const FLUSHING: Duration = Duration::from_millis(1_000);
-/// So long before the end what stands at servers without a connection begins to be released.
-const RELEASING: Ms = Ms(1_000.0);
-const LOOK_EVERY: Duration = Duration::from_millis(20);
-const FLUSH_LOOK_EVERY: Duration = Duration::from_millis(5);
+/// Minimum time for which new requests are still accepted: clients learn late that this manager shuts down.
+const MIN_ACCEPT_TIME: Ms = Ms(800.0);
+/// Upper limit of the longest patience when the shutdown time is computed.
+const MAX_PATIENCE: Ms = Ms(3_000.0);
+/// Open requests are answered this long after the longest patience; SIGKILL may come 0.7 s after it.
+const TIME_PAST_PATIENCE: Ms = Ms(500.0);
+/// Time in which clients that read slowly can take the last answers and releases. SIGKILL may come earlier;
+/// an earlier end would lose the same.
+const MAX_FLUSH_TIME: Duration = Duration::from_millis(1_000);
+/// Sessions at servers without a connection are released from this time before the end on.
+const RELEASE_PERIOD: Ms = Ms(1_000.0);
+/// Interval of the checks while open requests are still served.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval of the checks while the remaining output is written.
+const FLUSH_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Serves on until what is open has its answer or its time is over, then answers and releases the rest and
-/// waits until that is written. Reloads still count: a new channel may tell of a drain. A second SIGTERM
-/// changes nothing.
-pub(super) async fn shut_down(hub: &Hub, signals: &mut Signals, longest: Ms, reload: impl Fn()) {
-    info!("told to end");
+/// Keeps serving until all open requests have their answers or the time is over, then answers and releases
+/// the rest and waits until that is written. Reloads still take effect, since a new channel may report a
+/// drain. A second SIGTERM has no effect.
+pub(super) async fn shut_down(hub: &Hub, signals: &mut Signals, longest_patience: Ms, reload: impl Fn()) {
+    info!("received a signal: told to end");
     let reloads = async {
         while let Some(signal) = signals.next().await {
             match signal {
                 Ok(Signal::Hup) => reload(),
-                Ok(_) => info!("already ending"),
-                Err(error) => warn!(%error, "signal"),
+                Ok(_) => info!("already shutting down"),
+                Err(error) => warn!(%error, "cannot receive signals"),
             }
         }
         std::future::pending().await
     };
-    let end = async {
-        serve_out(hub, longest).await;
-        hub.with(|node, now, sockets| node.shut_down(now, sockets));
+    let shutdown = async {
+        serve_open_requests(hub, longest_patience).await;
+        hub.with_node(|node, now, sockets| node.shut_down(now, sockets));
         flush(hub).await;
     };
-    futures_lite::future::or(end, reloads).await;
+    futures_lite::future::or(shutdown, reloads).await;
     figures::log(hub);
-    info!("ended");
+    info!("shutdown is complete");
 }
 
-/// Until nothing is open and nobody new comes, or the time that is left is over.
-async fn serve_out(hub: &Hub, longest: Ms) {
-    let began = hub.now();
-    let most = (longest.min(LONGEST_DEADLINE) + PAST_DEADLINE).max(ACCEPTING);
+/// Waits until nothing is open and the minimum time has passed, or the time is over.
+async fn serve_open_requests(hub: &Hub, longest_patience: Ms) {
+    let started_at = hub.now();
+    let max_time = (longest_patience.min(MAX_PATIENCE) + TIME_PAST_PATIENCE).max(MIN_ACCEPT_TIME);
     loop {
-        Timer::after(LOOK_EVERY).await;
-        let since = hub.now() - began;
+        Timer::after(CHECK_INTERVAL).await;
+        let elapsed = hub.now() - started_at;
         let idle = hub.node.borrow().open_set_ups() == 0 && hub.node.borrow().playing_sessions() == 0;
-        if since >= most || (since >= ACCEPTING && idle) {
+        if elapsed >= max_time || (elapsed >= MIN_ACCEPT_TIME && idle) {
             return;
         }
-        release_unwatched(hub, most - since);
+        release_unwatched(hub, max_time - elapsed);
     }
 }
 
-/// Releases, over the last second, what stands at servers that a connection has to be opened to for that.
-fn release_unwatched(hub: &Hub, left: Ms) {
-    let (_, unwatched) = hub.node.borrow().server_connections();
-    if left > RELEASING || unwatched == 0 {
+/// During the last second, releases sessions at servers to which a connection has to be opened first, spread
+/// over the remaining checks.
+fn release_unwatched(hub: &Hub, time_left: Ms) {
+    let unwatched = hub.node.borrow().server_connections().unwatched_servers;
+    if time_left > RELEASE_PERIOD || unwatched == 0 {
         return;
     }
-    let looks = (left.0 / LOOK_EVERY.as_secs_f64() / 1e3).floor() as usize;
-    let now = unwatched.div_ceil(looks.max(1));
-    hub.with(|node, at, sockets| node.release_unwatched(at, now, sockets));
+    let checks_left = (time_left.0 / CHECK_INTERVAL.as_secs_f64() / 1e3).floor() as usize;
+    let servers = unwatched.div_ceil(checks_left.max(1));
+    hub.with_node(|node, now, sockets| node.release_unwatched(now, servers, sockets));
 }
 
-/// Until all that was said last is written, or a slow reader has had its time. Releases may wait for
-/// connections to their servers.
+/// Waits until all output is written or slow readers have had their time. Releases may wait for connections
+/// to their servers.
 async fn flush(hub: &Hub) {
     let written = async {
-        while !hub.sockets.borrow().all_out() || hub.node.borrow().has_pending_releases() {
-            Timer::after(FLUSH_LOOK_EVERY).await;
-            hub.with(|node, now, sockets| node.send_pending_releases(now, sockets));
+        while !hub.sockets.borrow().all_written() || hub.node.borrow().has_pending_releases() {
+            Timer::after(FLUSH_CHECK_INTERVAL).await;
+            hub.with_node(|node, now, sockets| node.send_pending_releases(now, sockets));
         }
     };
-    // Tasks write in their own turns: one look at once would find nothing said yet.
-    Timer::after(FLUSH_LOOK_EVERY).await;
-    let late = async {
-        Timer::after(FLUSHING).await;
+    // The tasks write in their own turns: an immediate check would come before they have started to write.
+    Timer::after(FLUSH_CHECK_INTERVAL).await;
+    let timeout = async {
+        Timer::after(MAX_FLUSH_TIME).await;
     };
-    futures_lite::future::or(written, late).await;
+    futures_lite::future::or(written, timeout).await;
 }
