--- a/daemon/src/node.rs
+++ b/daemon/src/node.rs
@@ -64,9 +64,10 @@
 /// Reads the configuration. Entries of the server list that cannot be read are dropped and logged.
 fn read_config(path: &Path) -> Result<ManagerConfig, NodeError> {
     let file = || path.to_path_buf();
-    let text = std::fs::read_to_string(path).map_err(|why| NodeError::Unread { file: file(), why })?;
+    let text =
+        std::fs::read_to_string(path).map_err(|cause| NodeError::Unreadable { file: file(), cause })?;
     let config = config::read(&text);
-    let config = config.map_err(|error| NodeError::Config { file: file(), why: error.to_string() })?;
+    let config = config.map_err(|error| NodeError::Config { file: file(), cause: error.to_string() })?;
     for error in &config.initial_events.dropped {
         warn!(file = %path.display(), error = %format_args!("known: {error}"), "an entry of the initial server list is dropped");
     }
@@ -84,14 +85,14 @@
 pub fn run(path: PathBuf) -> Result<(), NodeError> {
     let config = read_config(&path)?;
     let address: SocketAddr =
-        config.listen_address.parse().map_err(|why| NodeError::Address { file: path.clone(), why })?;
+        config.listen_address.parse().map_err(|cause| NodeError::Address { file: path.clone(), cause })?;
     let executor = ottersail_net::executor();
     let clock = Clock::start();
     block_on(executor.run(async {
         // Signals are registered before the first `OPTIONS` request can be answered: an early signal must not
         // end the program.
         let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])
-            .map_err(|why| NodeError::Signals { why })?;
+            .map_err(|cause| NodeError::Signals { cause })?;
         let (name, connect_timeout, channel) =
             (config.name.clone(), config.connect_timeout, config.channel_address.clone());
         let (longest_patience, seed) = (config.longest_patience, config.seed);
@@ -124,7 +125,7 @@
             }
         }));
         let listener = listen(address).and_then(Listener::new);
-        let listener = listener.map_err(|why| NodeError::Listen { address, why })?;
+        let listener = listener.map_err(|cause| NodeError::Listen { address, cause })?;
         executor.spawn(hub.clone().run_timers()).detach();
         executor.spawn(figures::log_regularly(hub.clone())).detach();
         executor.spawn(accept(hub.clone(), listener)).detach();
--- a/daemon/src/node/hub.rs
+++ b/daemon/src/node/hub.rs
@@ -2,7 +2,7 @@
 
 use super::output::Sockets;
 use ottersail::time::Ms;
-use ottersail_net::{Clock, Exec, Timer};
+use ottersail_net::{Clock, Executor, Timer};
 use ottersail_platform::node::Node;
 use std::cell::{Cell, RefCell};
 use std::future::{poll_fn, Future};
@@ -29,7 +29,7 @@
 
 /// Shared state. Every task holds a reference; none keeps a part of it borrowed across an await.
 pub(crate) struct Hub {
-    pub executor: Exec,
+    pub executor: Executor,
     pub clock: Clock,
     pub node: RefCell<Node>,
     pub sockets: RefCell<Sockets>,
--- a/daemon/src/worker/ask.rs
+++ b/daemon/src/worker/ask.rs
@@ -2,10 +2,10 @@
 
 use super::Worker;
 use crate::post::{News, Slot};
-use ottersail_cores::{vigil, Claim, Stage};
-use ottersail_front::tape::Told;
-use ottersail_front::{AskId, Reply};
-use ottersail_net::{Line, Timer};
+use ottersail_cores::{stall, Claim, Stage};
+use ottersail_front::recording::FrontInput;
+use ottersail_front::{Reply, RequestId};
+use ottersail_net::{ConnectionHandle, Timer};
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -16,16 +16,16 @@
     /// `None` if another core has answered in this one's place.
     pub async fn ask(
         self: &Rc<Worker>,
-        line: Line,
+        line: ConnectionHandle,
         trace: String,
         patience: f64,
-        told: impl FnOnce(AskId) -> Told,
+        told: impl FnOnce(RequestId) -> FrontInput,
     ) -> Option<Reply> {
         self.asks.set(self.asks.get() + 1);
-        let ask = AskId(self.asks.get() * self.shared.cores.len() as u64 + self.index as u64);
+        let ask = RequestId(self.asks.get() * self.shared.cores.len() as u64 + self.index as u64);
         let (ready, is_ready) = async_channel::bounded(1);
         let began = self.now();
-        let due = vigil::last_call(began, patience);
+        let due = stall::fallback_deadline(began, patience);
         let (claim, reply) = (Claim::new(), Mutex::new(None));
         let slot = Arc::new(Slot { claim, reply, ready, line, began, due });
         self.core.waiting.lock().unwrap_or_else(PoisonError::into_inner).insert(ask, slot.clone());
@@ -51,10 +51,10 @@
             if stage == Stage::Taken {
                 // It owes nothing for it any more.
                 let worker = self.clone();
-                self.spawn(async move { worker.tell(Told::Left { ask }).await });
+                self.spawn(async move { worker.tell(FrontInput::RequestClosed { request: ask }).await });
             }
             match stage {
-                Stage::Put => Reply::Blocked { stay_away },
+                Stage::Pending => Reply::Blocked { stay_away },
                 Stage::Taken => Reply::Aborted { late: true },
             }
         }))
@@ -69,7 +69,7 @@
 
 struct Waiting<'a> {
     worker: &'a Rc<Worker>,
-    ask: AskId,
+    ask: RequestId,
     slot: Arc<Slot>,
 }
 
@@ -83,7 +83,7 @@
         // never will.
         if self.slot.claim.answer() == Some(Stage::Taken) {
             let (worker, ask) = (self.worker.clone(), self.ask);
-            self.worker.spawn(async move { worker.tell(Told::Left { ask }).await });
+            self.worker.spawn(async move { worker.tell(FrontInput::RequestClosed { request: ask }).await });
         }
     }
 }
--- a/rollout/src/evidence/track.rs
+++ b/rollout/src/evidence/track.rs
@@ -1,8 +1,8 @@
 //! What each member did since it is watched: sums over windows, bounded by what is usual of the others.
 
 use super::{median, sum::Sum, Told, FEWEST};
-use crate::stand::Counts;
-use crate::{Life, MemberId};
+use crate::stand::ViewingCounts;
+use crate::{InstanceId, MemberId};
 use std::collections::BTreeMap;
 
 /// Of one member, no more viewings count than so many times the median's. Symptom guarded against: one that tells
@@ -21,8 +21,8 @@
 
 #[derive(Clone, Debug)]
 struct Track {
-    life: Life,
-    last: Counts,
+    life: InstanceId,
+    last: ViewingCounts,
     released: bool,
     /// Before its release; none if it is not released.
     before: Sum,
@@ -76,7 +76,9 @@
                 );
                 match told.released {
                     true => released.push(id),
-                    false => drop(fresh.insert(id, Sum::of(&Counts::default(), &last).unwrap_or_default())),
+                    false => {
+                        fresh.insert(id, Sum::of(&ViewingCounts::default(), &last).unwrap_or_default());
+                    }
                 }
                 continue;
             };
--- a/rollout/src/tests/histories.rs
+++ b/rollout/src/tests/histories.rs
@@ -3,7 +3,7 @@
 use super::judge::Judge;
 use super::world::*;
 use crate::*;
-use ottersail_membership::chance::Chance;
+use ottersail_membership::rng::SeededRng;
 use test_case::test_case;
 
 /// By v1, v2 and v3; v3 never gets ready in some histories.
@@ -15,14 +15,14 @@
     Order {
         serial: Serial(serial),
         name: name("day"),
-        who: Who::All,
+        scope: Scope::All,
         version: name(version),
-        before: name("v1"),
-        steps: vec![Step::Count(1), Step::Part(250), Step::Part(1_000)],
+        previous_version: name("v1"),
+        steps: vec![Step::Count(1), Step::PerMille(250), Step::PerMille(1_000)],
         settle_ms: 2_500,
         use_ms: 4_000,
         bounds: Bounds { fleet: members as u16, most_out, zones, least_holders: 0, headroom: 0 },
-        halts: Halts { by_evidence: true, alarms: 100, points: 5 },
+        halt_policy: HaltPolicy { by_evidence: true, alarms: 100, points: 5 },
         state,
         struck: vec![],
     }
@@ -71,7 +71,7 @@
                 world.kill(it, true);
             }
         }),
-        1 | 2 => world.nodes[one].paused_until = world.now + Ms(world.chance.part() * 12e3),
+        1 | 2 => world.nodes[one].paused_until = world.now + Ms(world.chance.fraction() * 12e3),
         3 => world.nodes[one % world.councillors].paused_until = world.now + Ms(10e3),
         4 => drop(world.cut.insert((one, other))),
         5 => world.cut.extend((0..members).map(|it| (it, one % world.councillors)).filter(|it| it.0 != it.1)),
@@ -103,7 +103,7 @@
 }
 
 fn born(seed: u64, guards: Guards) -> (World, Operator) {
-    let mut chance = Chance::new(seed ^ 0x5eed);
+    let mut chance = SeededRng::new(seed ^ 0x5eed);
     let members = [7, 9, 12, 18][chance.below(4)];
     let councillors = if members > 7 { [3, 5][chance.below(2)] } else { 3 };
     let most_out = 1 + chance.below(3) as u16;
@@ -129,7 +129,7 @@
 fn ill(seed: u64, guards: Guards) -> (World, Operator) {
     let (mut world, mut operator) = born(seed, guards);
     while world.now < Ms(120e3) && world.judge.broken.is_none() {
-        let next = world.now + Ms(world.chance.part() * 4e3);
+        let next = world.now + Ms(world.chance.fraction() * 4e3);
         world.run(next);
         for _ in 0..world.chance.below(3) {
             fault(&mut world, &mut operator);
