--- a/bench-adapter/src/main.rs
+++ b/bench-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts instances of the module on the bench's wire: lines in, lines out.
+//! Runs instances of the placement decisions under the bench's protocol, on standard input and output.
 
 mod wire;
 
@@ -25,14 +25,14 @@
             return ExitCode::from(2);
         }
     }
-    // A panic of the module is reported on the wire, not as a trace.
+    // A panic of an instance is reported as a PANIC line, without a backtrace on standard error.
     std::panic::set_hook(Box::new(|_| {}));
     let input = BufReader::with_capacity(1 << 20, io::stdin().lock());
     let mut output = BufWriter::with_capacity(1 << 18, io::stdout().lock());
     match wire::serve(input, &mut output) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(trouble) => {
-            eprintln!("ottersail-drill: {trouble}");
+        Err(error) => {
+            eprintln!("ottersail-drill: {error}");
             ExitCode::FAILURE
         }
     }
--- a/bench-adapter/src/wire.rs
+++ b/bench-adapter/src/wire.rs
@@ -1,17 +1,18 @@
-//! The wire: positional text lines, batches from MARK to FLUSH, one reply for each.
+//! The bench's protocol: lines of positional values, in batches from MARK to FLUSH, with one reply for each
+//! batch.
 
 mod errors;
 mod host;
 mod reply;
 mod values;
 
-use errors::{Flaw, WireError};
+use errors::{ErrorKind, WireError};
 use host::Host;
 use ottersail::time::Ms;
 use std::io::{BufRead, Write};
-use values::{entry, wanted, Read, Values};
+use values::{entry, unexpected, ParseResult, Values};
 
-/// Reads lines until the input ends, counting them.
+/// Reads and counts lines.
 struct Lines<R> {
     input: R,
     count: u64,
@@ -19,46 +20,48 @@
 }
 
 impl<R: BufRead> Lines<R> {
-    fn next(&mut self) -> Read<Option<&str>> {
+    fn next(&mut self) -> ParseResult<Option<&str>> {
         self.line.clear();
         self.count += 1;
         match self.input.read_line(&mut self.line) {
             Ok(0) => Ok(None),
             Ok(_) => Ok(Some(self.line.trim_end_matches(['\n', '\r']))),
-            Err(trouble) => Err(Flaw::Input(trouble)),
+            Err(error) => Err(ErrorKind::Input(error)),
         }
     }
 }
 
-pub fn serve<R: BufRead, W: Write>(input: R, to: &mut W) -> Result<(), WireError> {
+/// Processes batches until the input ends.
+pub fn serve<R: BufRead, W: Write>(input: R, output: &mut W) -> Result<(), WireError> {
     let mut lines = Lines { input, count: 0, line: String::new() };
-    batches(&mut lines, to).map_err(|what| WireError { line: lines.count, what })
+    process_batches(&mut lines, output).map_err(|kind| WireError { line: lines.count, kind })
 }
 
-fn batches<R: BufRead, W: Write>(lines: &mut Lines<R>, to: &mut W) -> Read<()> {
+fn process_batches<R: BufRead, W: Write>(lines: &mut Lines<R>, output: &mut W) -> ParseResult<()> {
     let mut host = Host::default();
-    let mut clock: Option<Ms> = None;
+    // The time of the open batch.
+    let mut batch_time: Option<Ms> = None;
     loop {
         let Some(line) = lines.next()? else {
-            return clock.map_or(Ok(()), |_| wanted("the end of input", "FLUSH"));
+            return batch_time.map_or(Ok(()), |_| unexpected("the end of input", "FLUSH"));
         };
-        if line.is_empty() && clock.is_none() {
+        if line.is_empty() && batch_time.is_none() {
             continue;
         }
-        let mut values = Values::of(line);
+        let mut values = Values::new(line);
         let name = values.text("a message")?;
-        match (name, clock) {
+        match (name, batch_time) {
             ("MARK", None) => {
-                clock = Some(values.clock("a clock time")?);
+                batch_time = Some(values.time("a clock time")?);
                 values.end()?;
             }
-            (other, None) => return wanted(other, "MARK"),
-            ("MARK", Some(_)) => return wanted(line, "an event or FLUSH"),
+            (other, None) => return unexpected(other, "MARK"),
+            ("MARK", Some(_)) => return unexpected(line, "an event or FLUSH"),
             ("FLUSH", Some(_)) => {
                 values.end()?;
-                let written = to.write_all(b"FINISHED\n").and_then(|()| to.flush());
-                written.map_err(Flaw::Output)?;
-                clock = None;
+                let written = output.write_all(b"FINISHED\n").and_then(|()| output.flush());
+                written.map_err(ErrorKind::Output)?;
+                batch_time = None;
             }
             ("REGISTER", Some(_)) => {
                 let sheet = values.number("sheet")?;
@@ -68,12 +71,12 @@
                 for _ in 0..count {
                     match lines.next()? {
                         Some(line) => entries.push(entry(line)?),
-                        None => return wanted("the end of input", "a list entry"),
+                        None => return unexpected("the end of input", "a list entry"),
                     }
                 }
                 host.sheets.insert(sheet, entries.into());
             }
-            (_, Some(now)) => host.event(name, values, now, to)?,
+            (_, Some(now)) => host.event(name, values, now, output)?,
         }
     }
 }
--- a/bench-adapter/src/wire/errors.rs
+++ b/bench-adapter/src/wire/errors.rs
@@ -1,34 +1,35 @@
-//! What ends the conversation. Each text says what is wrong, in which line, and what an operator can try.
+//! Errors that end the session. Each message says what is wrong, in which line, and what an operator can try.
 
 use ottersail_platform::errors::LoadError;
 use std::io;
 use thiserror::Error;
 
-/// Nothing after it is read: where the sender and this program have parted ways, more would be guessed.
+/// An error of the input or the output. Reading stops there, because sender and receiver no longer agree on
+/// the protocol's state.
 #[derive(Debug, Error)]
-#[error("line {line}: {what}")]
+#[error("line {line}: {kind}")]
 pub struct WireError {
-    /// Of the input, from 1.
+    /// Line number in the input, from 1.
     pub line: u64,
     #[source]
-    pub what: Flaw,
+    pub kind: ErrorKind,
 }
 
 #[derive(Debug, Error)]
-pub enum Flaw {
+pub enum ErrorKind {
     #[error(
-        "read '{read}', expected {expected}; send it so, or run the version that speaks as the sender does"
+        "read '{read}', expected {expected}; send that, or run the version that speaks the sender's protocol"
     )]
-    Wanted { read: String, expected: &'static str },
-    #[error("read '{read}', expected a settings object ({source}); send the object whole and in one line")]
+    Unexpected { read: String, expected: &'static str },
+    #[error("read '{read}', expected a settings object ({source}); send a complete object on one line")]
     Settings { read: String, source: serde_json::Error },
     #[error(transparent)]
     Load(#[from] LoadError),
     #[error(
-        "the line could not be read: {0}; send UTF-8, and leave standard input open up to the last FLUSH"
+        "the line could not be read: {0}; send UTF-8, and keep standard input open until the last FLUSH"
     )]
     Input(#[source] io::Error),
-    #[error("the reply could not be written: {0}; leave standard output open, and read on until FINISHED")]
+    #[error("the reply could not be written: {0}; keep standard output open and read it until FINISHED")]
     Output(#[source] io::Error),
 }
 
--- a/bench-adapter/src/wire/errors/tests.rs
+++ b/bench-adapter/src/wire/errors/tests.rs
@@ -1,37 +1,40 @@
 use super::*;
-use std::io::ErrorKind;
+use std::io::ErrorKind as IoErrorKind;
 use test_case::test_case;
 
-fn settings() -> Flaw {
-    Flaw::Settings { read: "{".into(), source: serde_json::from_str::<serde_json::Value>("{").unwrap_err() }
+fn settings_error() -> ErrorKind {
+    let source = serde_json::from_str::<serde_json::Value>("{").unwrap_err();
+    ErrorKind::Settings { read: "{".into(), source }
 }
 
-/// What is wrong, and what to try; where it is stands before each.
 #[test_case(
-    Flaw::Wanted { read: "SING".into(), expected: "a known event" },
-    ["read 'SING', expected a known event", "send it so"];
-    "another value"
+    ErrorKind::Unexpected { read: "SING".into(), expected: "a known event" },
+    ["read 'SING', expected a known event", "send that"];
+    "unexpected value"
 )]
-#[test_case(settings(), ["read '{', expected a settings object", "send the object whole"]; "settings")]
 #[test_case(
-    Flaw::from(LoadError { pair: 2, read: "x".into() }),
+    settings_error(), ["read '{', expected a settings object", "send a complete object"];
+    "settings"
+)]
+#[test_case(
+    ErrorKind::from(LoadError { pair: 2, read: "x".into() }),
     ["read 'x', expected name:value in pair 2", "let its sender write"];
     "load"
 )]
 #[test_case(
-    Flaw::Input(ErrorKind::InvalidData.into()), ["could not be read: invalid data", "send UTF-8"];
+    ErrorKind::Input(IoErrorKind::InvalidData.into()), ["could not be read: invalid data", "send UTF-8"];
     "input"
 )]
 #[test_case(
-    Flaw::Output(ErrorKind::BrokenPipe.into()),
-    ["could not be written: broken pipe", "leave standard output open"];
+    ErrorKind::Output(IoErrorKind::BrokenPipe.into()),
+    ["could not be written: broken pipe", "keep standard output open"];
     "output"
 )]
-fn a_text_says_what_where_and_what_to_try(what: Flaw, parts: [&str; 2]) {
-    let told = WireError { line: 7, what }.to_string();
-    assert!(told.starts_with("line 7: "), "{told}");
+fn a_message_says_what_is_wrong_where_and_what_to_try(kind: ErrorKind, parts: [&str; 2]) {
+    let message = WireError { line: 7, kind }.to_string();
+    assert!(message.starts_with("line 7: "), "{message}");
     for part in parts {
-        assert!(told.contains(part), "{told}");
+        assert!(message.contains(part), "{message}");
     }
-    assert_eq!(told.lines().count(), 1, "{told}");
+    assert_eq!(message.lines().count(), 1, "{message}");
 }
--- a/bench-adapter/src/wire/host.rs
+++ b/bench-adapter/src/wire/host.rs
@@ -1,10 +1,10 @@
-//! Instances of the module, and the events told to each.
+//! The running instances, and the events delivered to them.
 
-use super::errors::Flaw;
+use super::errors::ErrorKind;
 use super::reply::Reply;
-use super::values::{bytes, hint, ms, outcome, wanted, Read, Values};
+use super::values::{bytes, duration_hint, ms, outcome, unexpected, ParseResult, Values};
 use ottersail::actions::PlacementActions;
-use ottersail::ids::{Rung, TenantIndex, TimerTag, TuneInIndex};
+use ottersail::ids::{Rung, TimerTag, TuneInIndex};
 use ottersail::placement::Placement;
 use ottersail::state::{ListMode, ServerEntry, Topic, ViewingRequest};
 use ottersail::time::Ms;
@@ -16,6 +16,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::rc::Rc;
 
+/// Names of the events, each followed by the name of an instance.
 const EVENTS: [&str; 12] = [
     "BORN",
     "CRASH_NOW",
@@ -31,60 +32,71 @@
     "DATAGRAM",
 ];
 
+/// The running instances by name.
 #[derive(Default)]
 pub struct Host {
     placements: BTreeMap<String, Placement>,
-    ever_born: BTreeSet<String>,
+    /// Names of all instances that have been started, including those that crashed.
+    ever_started: BTreeSet<String>,
+    /// Registered server lists by number.
     pub sheets: BTreeMap<u64, Rc<[ServerEntry]>>,
 }
 
 impl Host {
-    /// Carries out one event; the module's panic becomes a PANIC line.
-    pub fn event<W: Write>(&mut self, name: &str, mut values: Values, now: Ms, to: &mut W) -> Read<()> {
+    /// Delivers one event to its instance and writes the resulting actions. A panic becomes a PANIC line.
+    pub fn event<W: Write>(
+        &mut self,
+        name: &str,
+        mut values: Values,
+        now: Ms,
+        output: &mut W,
+    ) -> ParseResult<()> {
         if !EVENTS.contains(&name) {
-            return wanted(name, "a known event");
+            return unexpected(name, "a known event");
         }
         let instance = values.text("manager-id")?;
-        let mut reply = Reply { to, instance, failed: None };
-        let told = catch_unwind(AssertUnwindSafe(|| self.tell(name, values, now, instance, &mut reply)));
-        if let Some(trouble) = reply.failed {
-            return Err(Flaw::Output(trouble));
+        let mut reply = Reply { output, instance, error: None };
+        let result = catch_unwind(AssertUnwindSafe(|| self.deliver(name, values, now, instance, &mut reply)));
+        if let Some(error) = reply.error {
+            return Err(ErrorKind::Output(error));
         }
-        told.unwrap_or_else(|panic| {
-            let what = panic.downcast_ref::<&str>().copied();
-            let what = what.or(panic.downcast_ref::<String>().map(String::as_str)).unwrap_or("unknown cause");
-            reply.line("PANIC", format_args!(" {}", what.replace('\n', " ")));
+        result.unwrap_or_else(|panic| {
+            let message = panic.downcast_ref::<&str>().copied();
+            let message =
+                message.or(panic.downcast_ref::<String>().map(String::as_str)).unwrap_or("unknown cause");
+            reply.line("PANIC", format_args!(" {}", message.replace('\n', " ")));
             Ok(())
         })
     }
 
-    fn tell(
+    fn deliver(
         &mut self,
         name: &str,
         mut values: Values,
         now: Ms,
         instance: &str,
-        out: &mut dyn PlacementActions,
-    ) -> Read<()> {
+        actions: &mut dyn PlacementActions,
+    ) -> ParseResult<()> {
         if name == "BORN" {
             let seed = values.number("salt")?;
-            let conf = values.remainder("conf")?;
-            let conf =
-                serde_json::from_str(conf).map_err(|source| Flaw::Settings { read: shown(conf), source })?;
-            self.ever_born.insert(instance.to_string());
-            self.placements.insert(instance.to_string(), Placement::new(now, seed, read_terms(&conf), out));
+            let settings = values.remainder("conf")?;
+            let settings = serde_json::from_str(settings)
+                .map_err(|source| ErrorKind::Settings { read: shown(settings), source })?;
+            self.ever_started.insert(instance.to_string());
+            self.placements
+                .insert(instance.to_string(), Placement::new(now, seed, read_terms(&settings), actions));
             return Ok(());
         }
         if name == "CRASH_NOW" {
             values.end()?;
-            if !self.ever_born.contains(instance) {
-                return wanted(instance, "an instance that was born");
+            if !self.ever_started.contains(instance) {
+                return unexpected(instance, "an instance that was born");
             }
             self.placements.remove(instance);
             return Ok(());
         }
         let Some(placement) = self.placements.get_mut(instance) else {
-            return wanted(instance, "an instance that was born");
+            return unexpected(instance, "an instance that was born");
         };
         match name {
             "MEMBERS" => {
@@ -93,86 +105,86 @@
                     "FULL" => ListMode::Full,
                     "SAVED" => ListMode::Saved,
                     "FAILED" => ListMode::Failed,
-                    other => return wanted(other, "a list mode"),
+                    other => return unexpected(other, "a list mode"),
                 };
                 values.optional::<u64>("serial")?;
                 let sheet = values.optional::<u64>("sheet")?;
                 values.end()?;
                 if mode == ListMode::Failed {
-                    placement.update_servers(now, mode, &[], out);
+                    placement.update_servers(now, mode, &[], actions);
                 } else {
                     match sheet.and_then(|sheet| self.sheets.get(&sheet)) {
-                        Some(entries) => placement.update_servers(now, mode, entries, out),
-                        None => return wanted(&format!("{sheet:?}"), "a sheet that was registered"),
+                        Some(entries) => placement.update_servers(now, mode, entries, actions),
+                        None => return unexpected(&format!("{sheet:?}"), "a sheet that was registered"),
                     }
                 }
             }
             "INCOMING" => {
-                let vw = values.text("handle")?.into();
-                let best = Rung(values.number("best-rung")?);
+                let viewing = values.text("handle")?.into();
+                let max_rung = Rung(values.number("best-rung")?);
                 let bits = values.optional::<u64>("bits")?;
-                let lasts = hint(bits, values.optional::<i64>("expected-ns")?);
+                let expected_duration = duration_hint(bits, values.optional::<i64>("expected-ns")?);
                 let owner = values.text("owner")?;
-                let base = values.number("base")?;
+                let first_cell = values.number("base")?;
                 let title = values.text("item")?.into();
-                let due = values.clock("due-ns")?;
+                let deadline = values.time("due-ns")?;
                 let priority = values.text("priority")?;
-                let copies = values.number("cells-in-row")?;
+                let cell_count = values.number("cells-in-row")?;
                 values.text("key")?;
                 values.end()?;
                 let Some(package) = placement.package_named(priority) else {
-                    return wanted(priority, "a class of the settings");
+                    return unexpected(priority, "a class of the settings");
                 };
-                let tenant = tenant(placement, owner);
+                let tenant = placement.tenant_named(owner);
                 placement.request_viewing(
                     now,
                     ViewingRequest {
-                        viewing: vw,
+                        viewing,
                         package,
                         tenant,
                         title,
-                        first_cell: base,
-                        cell_count: copies,
-                        max_rung: best,
-                        deadline: due,
-                        expected_duration: lasts,
+                        first_cell,
+                        cell_count,
+                        max_rung,
+                        deadline,
+                        expected_duration,
                     },
-                    out,
+                    actions,
                 );
             }
             "PREEXISTING" => {
-                let vw = values.text("handle")?.into();
+                let viewing = values.text("handle")?.into();
                 let priority = values.text("priority")?;
                 let owner = values.text("owner")?;
                 values.text("item")?;
                 let title = values.text("title")?.into();
-                let due = values.optional::<i64>("due-ns")?.map_or(Ms::DISTANT_PAST, ms);
+                let deadline = values.optional::<i64>("due-ns")?.map_or(Ms::DISTANT_PAST, ms);
                 let expected = values.optional::<i64>("expected-ns")?;
-                let base = values.number("base")?;
-                let copies = values.number("cells-in-row")?;
-                let best = Rung(values.number("best-rung")?);
-                let lasts = hint(values.optional::<u64>("bits")?, expected);
+                let first_cell = values.number("base")?;
+                let cell_count = values.number("cells-in-row")?;
+                let max_rung = Rung(values.number("best-rung")?);
+                let expected_duration = duration_hint(values.optional::<u64>("bits")?, expected);
                 let server = values.text("server")?.into();
                 values.end()?;
                 let Some(package) = placement.package_named(priority) else {
-                    return wanted(priority, "a class of the settings");
+                    return unexpected(priority, "a class of the settings");
                 };
-                let tenant = tenant(placement, owner);
-                let wish = ViewingRequest {
-                    viewing: vw,
+                let tenant = placement.tenant_named(owner);
+                let request = ViewingRequest {
+                    viewing,
                     package,
                     tenant,
                     title,
-                    first_cell: base,
-                    cell_count: copies,
-                    max_rung: best,
-                    deadline: due,
-                    expected_duration: lasts,
+                    first_cell,
+                    cell_count,
+                    max_rung,
+                    deadline,
+                    expected_duration,
                 };
-                placement.adopt_viewing(now, wish, server, out);
+                placement.adopt_viewing(now, request, server, actions);
             }
             "CHANGE" => {
-                let vw = values.text("handle")?.into();
+                let viewing = values.text("handle")?.into();
                 values.optional::<u64>("leg")?;
                 let value = values.number("value")?;
                 let topic = match values.number::<u64>("topic")? {
@@ -185,24 +197,24 @@
                 let server = values.text("server")?.into();
                 values.end()?;
                 if let Some(topic) = topic {
-                    placement.note_received(now, &vw, topic, value, &server, out);
+                    placement.note_received(now, &viewing, topic, value, &server, actions);
                 }
             }
             "BELL" => {
                 let tag = TimerTag(values.number("tag")?);
                 values.end()?;
-                placement.timer_fired(now, tag, out);
+                placement.timer_fired(now, tag, actions);
             }
             "FIRST" => {
-                let vw = values.text("handle")?.into();
+                let viewing = values.text("handle")?.into();
                 values.optional::<i64>("elapsed-ns")?;
                 values.optional::<u64>("leg")?;
                 let server = values.text("server")?.into();
                 values.end()?;
-                placement.viewing_started(now, &vw, &server, out);
+                placement.viewing_started(now, &viewing, &server, actions);
             }
             "ANSWER" => {
-                let vw = values.text("handle")?.into();
+                let viewing = values.text("handle")?.into();
                 let no = TuneInIndex(values.number("leg")?);
                 let server = values.text("server")?.into();
                 let ending = outcome(values.text("ending")?)?;
@@ -210,12 +222,12 @@
                 let last = values.optional::<u8>("last")? == Some(1);
                 let load = load(values.text("load")?)?;
                 values.end()?;
-                placement.tune_in_ended(now, &vw, no, &server, ending, last, load, out);
+                placement.tune_in_ended(now, &viewing, no, &server, ending, last, load, actions);
             }
             "DROPPED" => {
-                let vw = values.text("handle")?.into();
+                let viewing = values.text("handle")?.into();
                 values.end()?;
-                placement.viewer_left(now, &vw, out);
+                placement.viewer_left(now, &viewing, actions);
             }
             "ECHO" => {
                 let server = values.text("server")?.into();
@@ -223,10 +235,10 @@
                 values.optional::<i64>("elapsed-ns")?;
                 let load = load(values.text("load")?)?;
                 values.end()?;
-                placement.probe_ended(now, &server, ending, load, out);
+                placement.probe_ended(now, &server, ending, load, actions);
             }
             "DATAGRAM" => {
-                // The managers of this module tell each other nothing; a message is only checked.
+                // Instances exchange no messages; a datagram is only checked for its format.
                 values.number::<u64>("author")?;
                 bytes(values.text("payload")?)?;
                 values.end()?;
@@ -236,7 +248,3 @@
         Ok(())
     }
 }
-
-fn tenant(placement: &Placement, owner: &str) -> Option<TenantIndex> {
-    placement.tenant_named(owner)
-}
--- a/bench-adapter/src/wire/values.rs
+++ b/bench-adapter/src/wire/values.rs
@@ -1,76 +1,85 @@
-//! The values of a line, and what is told where one can't be read.
+//! Parses the values of a line.
 
-use super::errors::Flaw;
+use super::errors::ErrorKind;
 use ottersail::ids::Cell;
 use ottersail::state::{Availability, Outcome, ServerEntry};
 use ottersail::time::Ms;
 use ottersail_platform::errors::shown;
 use std::str::FromStr;
 
-pub type Read<T> = Result<T, Flaw>;
+pub type ParseResult<T> = Result<T, ErrorKind>;
 
-pub fn wanted<T>(read: &str, expected: &'static str) -> Read<T> {
-    Err(Flaw::Wanted { read: shown(read), expected })
+/// The error for an unexpected value.
+pub fn unexpected<T>(read: &str, expected: &'static str) -> ParseResult<T> {
+    Err(ErrorKind::Unexpected { read: shown(read), expected })
 }
 
-/// The values of one line, taken in order.
+/// The values of one line, separated by single spaces and read in order. The `expected` argument of the
+/// methods names the value in errors.
 pub struct Values<'a> {
     line: &'a str,
     rest: Option<&'a str>,
 }
 
 impl<'a> Values<'a> {
-    pub fn of(line: &'a str) -> Self {
+    pub fn new(line: &'a str) -> Self {
         Values { line, rest: Some(line) }
     }
 
-    pub fn text(&mut self, expected: &'static str) -> Read<&'a str> {
+    /// The next value as it stands.
+    pub fn text(&mut self, expected: &'static str) -> ParseResult<&'a str> {
         let Some(rest) = self.rest.filter(|rest| !rest.is_empty()) else {
-            return wanted(self.line, expected);
+            return unexpected(self.line, expected);
         };
         let (value, rest) = rest.split_once(' ').map_or((rest, None), |(value, rest)| (value, Some(rest)));
         self.rest = rest;
         Ok(value)
     }
 
-    pub fn optional<T: FromStr>(&mut self, expected: &'static str) -> Read<Option<T>> {
+    /// The next value, where `-` means that there is none.
+    pub fn optional<T: FromStr>(&mut self, expected: &'static str) -> ParseResult<Option<T>> {
         match self.text(expected)? {
             "-" => Ok(None),
-            value => value.parse().map(Some).or_else(|_| wanted(value, expected)),
+            value => value.parse().map(Some).or_else(|_| unexpected(value, expected)),
         }
     }
 
-    pub fn number<T: FromStr>(&mut self, expected: &'static str) -> Read<T> {
+    pub fn number<T: FromStr>(&mut self, expected: &'static str) -> ParseResult<T> {
         match self.optional(expected)? {
             Some(value) => Ok(value),
-            None => wanted("-", expected),
+            None => unexpected("-", expected),
         }
     }
 
-    pub fn clock(&mut self, expected: &'static str) -> Read<Ms> {
+    /// A time in nanoseconds.
+    pub fn time(&mut self, expected: &'static str) -> ParseResult<Ms> {
         Ok(ms(self.number::<i64>(expected)?))
     }
 
-    pub fn remainder(&mut self, expected: &'static str) -> Read<&'a str> {
-        self.rest.take().map_or_else(|| wanted(self.line, expected), Ok)
+    /// All that is left of the line.
+    pub fn remainder(&mut self, expected: &'static str) -> ParseResult<&'a str> {
+        self.rest.take().map_or_else(|| unexpected(self.line, expected), Ok)
     }
 
-    pub fn end(self) -> Read<()> {
-        self.rest.map_or(Ok(()), |rest| wanted(rest, "the end of the line"))
+    /// Checks that no value is left.
+    pub fn end(self) -> ParseResult<()> {
+        self.rest.map_or(Ok(()), |rest| unexpected(rest, "the end of the line"))
     }
 }
 
-/// Exact enough that a time which went out as nanoseconds, rounded up, never comes back earlier.
+/// Nanoseconds as milliseconds, precise enough that a time that was sent as nanoseconds, rounded up, never
+/// comes back earlier.
 pub fn ms(ns: i64) -> Ms {
     Ms(ns as f64 / 1e6)
 }
 
-/// A hint counts where its bit says that it is valid.
-pub fn hint(bits: Option<u64>, expected: Option<i64>) -> Option<Ms> {
-    expected.filter(|_| bits.is_some_and(|bits| bits & 1 == 1)).map(ms)
+/// The expected duration of a viewing, if its validity bit is set.
+pub fn duration_hint(bits: Option<u64>, expected_ns: Option<i64>) -> Option<Ms> {
+    expected_ns.filter(|_| bits.is_some_and(|bits| bits & 1 == 1)).map(ms)
 }
 
-pub fn bytes(hex: &str) -> Read<Vec<u8>> {
+/// Bytes from pairs of hex digits; `-` is empty.
+pub fn bytes(hex: &str) -> ParseResult<Vec<u8>> {
     if hex == "-" {
         return Ok(Vec::new());
     }
@@ -79,10 +88,10 @@
         .map(|pair| std::str::from_utf8(pair).ok().filter(|pair| pair.len() == 2))
         .map(|pair| pair.and_then(|pair| u8::from_str_radix(pair, 16).ok()))
         .collect::<Option<_>>()
-        .map_or_else(|| wanted(hex, "pairs of hex digits"), Ok)
+        .map_or_else(|| unexpected(hex, "pairs of hex digits"), Ok)
 }
 
-pub fn outcome(code: &str) -> Read<Outcome> {
+pub fn outcome(code: &str) -> ParseResult<Outcome> {
     Ok(match code {
         "served" => Outcome::Served,
         "server_error" => Outcome::ServerError,
@@ -92,15 +101,16 @@
         "connection_lost" => Outcome::ConnectionLost,
         "called_off" => Outcome::CalledOff,
         "not_sent" => Outcome::NotSent,
-        _ => return wanted(code, "an outcome"),
+        _ => return unexpected(code, "an outcome"),
     })
 }
 
-pub fn entry(line: &str) -> Read<ServerEntry> {
-    let mut values = Values::of(line);
+/// One line of a server list.
+pub fn entry(line: &str) -> ParseResult<ServerEntry> {
+    let mut values = Values::new(line);
     match values.text("a list entry")? {
         "M" => {}
-        other => return wanted(other, "a list entry starting with M"),
+        other => return unexpected(other, "a list entry starting with M"),
     }
     let entry = ServerEntry {
         kind: values.text("shape")?.into(),
@@ -109,7 +119,7 @@
             "U" => Availability::Up,
             "L" => Availability::Leaving,
             "D" => Availability::Gone,
-            other => return wanted(other, "U, L or D"),
+            other => return unexpected(other, "U, L or D"),
         },
         server: values.text("server")?.into(),
         started: values.optional::<i64>("started-at-ns")?.filter(|ns| *ns > 0).map(ms),
--- a/front/src/front.rs
+++ b/front/src/front.rs
@@ -160,8 +160,8 @@
 
     fn at(&mut self, now: Ms) -> &mut Desk {
         self.desk.now = now;
-        // Guards against a part that another holds by now: after a standstill, the first thing that happens may
-        // come before any timer.
+        // Guards against a part that another holds by now: after a standstill, the first thing that happens
+        // may come before any timer.
         if self.desk.part.as_ref().is_some_and(|it| now >= Ms(it.lease_end_ms)) {
             if let Some(it) = self.desk.part.take() {
                 info!(
--- a/front/src/front/desk.rs
+++ b/front/src/front/desk.rs
@@ -8,7 +8,7 @@
 use crate::watch::Watch;
 use ottersail::config::PlacementConfig;
 use ottersail::ids::{Rung, ServerId, ViewingId};
-use ottersail::placement::LIST_LAG;
+use ottersail::placement::LIST_LAG_FALL_WINDOWS;
 use ottersail::time::Ms;
 use ottersail_hls::Source;
 use ottersail_wire::catalogue::Title;
@@ -58,7 +58,8 @@
     pub(super) sources: BTreeMap<(String, usize), (Vec<u8>, Weak<Source>)>,
     pub(super) sweep_sources_at: usize,
     pub(super) draining: bool,
-    /// Until then servers that started before this manager may not be listed as they are (the module's doubt).
+    /// Until then servers that started before this manager may not be listed as they are (the module's
+    /// doubt).
     pub(super) doubts_until: Ms,
     /// Probes that are out, one for a server at most.
     pub(super) probes: BTreeSet<ServerId>,
@@ -91,7 +92,7 @@
             draining: false,
             probes: BTreeSet::new(),
             counts: Counts::default(),
-            doubts_until: now + terms.cold.warm_up.min(terms.cold.fall_window * LIST_LAG),
+            doubts_until: now + terms.cold.warm_up.min(terms.cold.fall_window * LIST_LAG_FALL_WINDOWS),
             part: None,
         }
     }
--- a/front/src/recording.rs
+++ b/front/src/recording.rs
@@ -1,4 +1,5 @@
-//! Recordings: the inputs of a front, which can be replayed, and the effects that it requested, one line each.
+//! Recordings: the inputs of a front, which can be replayed, and the effects that it requested, one line
+//! each.
 
 use crate::effects::{Effects, Reply, RequestId, SetUp, SetUpEnd, SlotShare, TitleRequest, WatchId};
 use crate::front::Front;
--- a/src/actions.rs
+++ b/src/actions.rs
@@ -3,8 +3,8 @@
 use crate::ids::{Rung, ServerId, TimerTag, ViewingId};
 use crate::time::Ms;
 
-/// Receives the decisions of [`Placement`](crate::placement::Placement). An implementation passes each call on
-/// at once.
+/// Receives the decisions of [`Placement`](crate::placement::Placement). An implementation passes each call
+/// on at once.
 pub trait PlacementActions {
     /// Sends a tune-in for the viewing to the server and waits at most `time_out` for its result.
     fn tune_in(&mut self, viewing: &ViewingId, server: &ServerId, time_out: Ms);
--- a/src/config.rs
+++ b/src/config.rs
@@ -53,8 +53,8 @@
     pub allowance_per_s: f64,
 }
 
-/// Limit on further tune-ins (every one after a viewing's first): `free_resends` plus `ratio` times the number of
-/// requests accepted within the window.
+/// Limit on further tune-ins (every one after a viewing's first): `free_resends` plus `ratio` times the
+/// number of requests accepted within the window.
 #[derive(Clone, Copy, Debug)]
 pub struct ResendBudget {
     pub free_resends: f64,
@@ -97,8 +97,8 @@
     pub ladder_kb: Vec<f64>,
     /// Value of a viewing at each rung; empty if the settings give none.
     pub rung_values: Vec<f64>,
-    /// Rate that one more viewer of a live title adds to its stream, as a fraction of the full rate; 1 means that
-    /// nothing is shared.
+    /// Rate that one more viewer of a live title adds to its stream, as a fraction of the full rate; 1 means
+    /// that nothing is shared.
     pub live_join_share: f64,
     pub cells: u64,
     pub racks: u64,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,13 @@
-//! Ottersail decides who plays, where and at what quality, for one session manager.
+//! Decides for one session manager of a video service which viewing is accepted, at which streaming server it
+//! plays and at which rung.
 //!
-//! The decisions are all in [`placement`]; the other files hold the shapes that it works on.
+//! All decisions are made in [`placement`]; the other modules define the types that it works on.
 
 pub mod actions;
-pub mod census;
-mod chance;
 pub mod config;
+pub mod demand;
 pub mod ids;
 pub mod placement;
+mod rng;
 pub mod state;
 pub mod time;
--- a/src/placement/constants.rs
+++ b/src/placement/constants.rs
@@ -1,53 +1,61 @@
-//! What is tuned: each a ratio to what the terms tell, or the normal point of a margin.
+//! Parameters of the decisions: ratios to configured quantities, and quantiles of the standard normal
+//! distribution for safety margins. A quantile `z` reserves `z * sqrt(n)` above an expected count of `n`.
 
-/// Normal point of the root margin, for held counts.
-pub(super) const PHI: f64 = 0.1;
-/// The same for the steps up of all managers after one note, which are drawn apart.
-pub(super) const DRAWN_PHI: f64 = 1.645;
-/// Parts of a link or uplink that may be asked: by new viewings, before playing ones step down, after that,
-/// and after a step up. Their distance keeps playing viewings from paying for each swing of the true rates.
-pub(super) const FILL: f64 = 0.92;
-pub(super) const DOWN_FILL: f64 = 1.04;
-pub(super) const EASED: f64 = 1.0;
-pub(super) const UP_FILL: f64 = 0.85;
-/// A newcomer is taken while what all could go down to, with it, asks no more than this part.
-pub(super) const ROOM: f64 = 0.65;
-/// Short delivery is explained by a link that was asked for this much of what would cause it.
-pub(super) const EXPLAINED: f64 = 0.92;
-/// A server must have been settled before a step up for this part of the time between notes, and for this
-/// many times what a change of rung costs, since steps up must be paid back.
-pub(super) const SETTLED: f64 = 0.5;
-pub(super) const PAID_BACK: f64 = 3.0;
-/// Between two steps up at a server, over the time between notes.
-pub(super) const UP_PACE: f64 = 0.15;
-/// Normal point of the margin on a tenant's share.
-pub(super) const SHARE_PHI: f64 = 2.0;
-/// A note older than this many note times counts no more.
-pub(super) const STALE: f64 = 2.5;
-/// What is known of an uplink that is never reported fades in about this many.
-pub(super) const TRUST: f64 = 20.0;
-/// A tune-in that another can follow waits for this part of the join target.
-pub(super) const FIRST_WAIT: f64 = 0.35;
-/// Use that a holder in another zone must be better by, for each point of the price of crossing.
-pub(super) const CROSS_HANDICAP: f64 = 2.0;
-/// Each server is weighed, and each held viewing looked at, once in this part of the shortest join target.
-pub(super) const BEAT: f64 = 0.1;
-/// A server that turned a set-up away is left out for this part of the time between notes.
-pub(super) const AWAY: f64 = 0.5;
-/// Where load is told to probes only: a report counts as known for so many times the lateness of notes, and a
-/// new viewing waits for it for this part of its join target.
-pub(super) const PROBE_GAP: f64 = 14.0;
-pub(super) const PROBE_WAIT: f64 = 0.2;
-/// Reports on probes are noisy, and the lowest of many is acted on: a step up must fit this part.
-pub(super) const PROBED_FILL: f64 = 0.65;
-/// After a step up there may be room for another: it is probed again after so many times that lateness.
-pub(super) const PROBE_AGAIN: f64 = 1.5;
-/// How old such a report is, over the lateness of notes.
-pub(super) const REPORT_AGE: f64 = 0.5;
-/// What had started before this manager did is listed within so many windows of the rule on cold servers.
-pub const LIST_LAG: f64 = 2.0;
-/// Off the list for so many warm-ups, and at least so many fall windows, a server is forgotten.
-pub(super) const FORGOTTEN: f64 = 3.0;
-/// What this manager holds tells how others' part grows: with so many more that stay, up to so many times.
-pub(super) const ALIKE: f64 = 4.0;
-pub(super) const GROWN: f64 = 2.0;
+/// Quantile of the margin on the number of viewings of each rung at a server.
+pub(super) const RATE_QUANTILE: f64 = 0.1;
+/// Quantile of the margin on the random number of steps up that all managers together make after one note.
+pub(super) const STEP_UP_QUANTILE: f64 = 1.645;
+/// Loads of a link or uplink: up to which new viewings are admitted, above which playing viewings step down,
+/// that they step down to, and up to which they may step up. The distances between them keep fluctuations of
+/// the actual rates from causing steps.
+pub(super) const ADMIT_LOAD: f64 = 0.92;
+pub(super) const STEP_DOWN_LOAD: f64 = 1.04;
+pub(super) const RELIEVED_LOAD: f64 = 1.0;
+pub(super) const STEP_UP_LOAD: f64 = 0.85;
+/// A new viewing is admitted while the load, with it and with all viewings at their floors, stays below this.
+pub(super) const ADMIT_FLOOR_LOAD: f64 = 0.65;
+/// A link explains short delivery if its load is at least this fraction of the load that would cause the
+/// shortage.
+pub(super) const EXPLAINED_SHARE: f64 = 0.92;
+/// A step up requires that the server's bound has held for this multiple of the time between notes, plus this
+/// multiple of the cost of a rung change, because a step up has to earn its cost.
+pub(super) const SETTLED_NOTE_GAPS: f64 = 0.5;
+pub(super) const SETTLED_CHANGE_COSTS: f64 = 3.0;
+/// Time between two steps up at a server, as a fraction of the report interval.
+pub(super) const STEP_UP_SPACING: f64 = 0.15;
+/// Quantile of the margin on a tenant's allowance.
+pub(super) const ALLOWANCE_QUANTILE: f64 = 2.0;
+/// Age, in multiples of the time between notes, beyond which a note is ignored.
+pub(super) const STALE_NOTE_GAPS: f64 = 2.5;
+/// Time constant, in multiples of the time between notes, with which the shortfall of an unreported uplink
+/// decays.
+pub(super) const SHORTFALL_DECAY_NOTE_GAPS: f64 = 20.0;
+/// Time-out of a tune-in after which another is possible, as a fraction of the join target.
+pub(super) const RETRIABLE_TIME_OUT_SHARE: f64 = 0.35;
+/// Load added to a holder in another zone, for each unit of the cross-zone price.
+pub(super) const CROSS_ZONE_LOAD_FACTOR: f64 = 2.0;
+/// Interval at which servers and waiting viewings are reviewed, as a fraction of the shortest join target.
+pub(super) const REVIEW_INTERVAL_SHARE: f64 = 0.1;
+/// How long a server that turned a set-up away is avoided, in multiples of the time between notes.
+pub(super) const TURNED_AWAY_NOTE_GAPS: f64 = 0.5;
+/// Where load is reported only to probes: how long a report counts as known, in multiples of the report
+/// delay, and how long a new viewing waits for one, as a fraction of its join target.
+pub(super) const PROBE_VALIDITY_DELAYS: f64 = 14.0;
+pub(super) const PROBE_WAIT_SHARE: f64 = 0.2;
+/// Replaces `STEP_UP_LOAD` where load is reported only to probes: reports are noisy, and the lowest of many
+/// causes the step.
+pub(super) const PROBED_STEP_UP_LOAD: f64 = 0.65;
+/// Time from a step up to the next probe, which looks for room for another, in multiples of the report delay.
+pub(super) const REPROBE_DELAYS: f64 = 1.5;
+/// Age of a report when it answers a probe, in multiples of the report delay.
+pub(super) const PROBE_REPORT_AGE_DELAYS: f64 = 0.5;
+/// Time within which the list contains all servers that started before this manager did, in multiples of the
+/// fall window of the rule on cold servers.
+pub const LIST_LAG_FALL_WINDOWS: f64 = 2.0;
+/// A server that has been off the list for this multiple of the warm-up, the fall window and the report delay
+/// is forgotten.
+pub(super) const FORGET_GONE_FACTOR: f64 = 3.0;
+/// The growth of this manager's demand is an estimate of the growth of the other managers': it is damped as
+/// if this many more viewings were held throughout, and limited to this factor.
+pub(super) const GROWTH_PRIOR_VIEWINGS: f64 = 4.0;
+pub(super) const MAX_GROWTH: f64 = 2.0;
--- a/src/placement/links.rs
+++ b/src/placement/links.rs
@@ -1,121 +1,159 @@
-//! What a link gives and is asked, and what part of a link or an uplink this manager may ask.
+//! Capacity and load of links and uplinks, and the part of them that this manager's viewings may use.
 
 use super::*;
 
-/// A link or an uplink: what it is told to give, what was seen of it, and what this manager asks of it now.
-pub(super) struct Pipe {
-    pub told: f64,
-    pub seen: Seen,
-    pub own: Own,
+/// State of a link or an uplink.
+pub(super) struct LinkState {
+    /// Capacity by the list and the settings.
+    pub listed_kb: f64,
+    pub sample: LoadSample,
+    /// This manager's present demand.
+    pub demand: Demand,
 }
 
-impl Pipe {
-    /// More of one's own than the whole that is seen: the link is larger than told, or titles run low.
-    pub fn capacity(&self) -> f64 {
-        self.told.max(if self.seen.asked > 0.0 { self.seen.own.0 / self.seen.asked } else { 0.0 })
+impl LinkState {
+    /// The listed capacity, or more if this manager's own demand exceeded the whole observed load: then the
+    /// link is larger than listed, or titles need less than their nominal rates.
+    pub fn capacity_kb(&self) -> f64 {
+        let sample = &self.sample;
+        self.listed_kb.max(if sample.load > 0.0 { sample.demand.kb / sample.load } else { 0.0 })
     }
 
+    /// Demand of the other managers.
     pub fn others_kb(&self) -> f64 {
-        (self.seen.asked * self.capacity() - self.seen.own.0).max(0.0)
+        (self.sample.load * self.capacity_kb() - self.sample.demand.kb).max(0.0)
     }
 
-    pub fn free_kb(&self, fill: f64) -> f64 {
-        self.capacity() * fill - self.others_kb() - self.own.0
+    /// Rate that is left up to this load; negative if the load is exceeded.
+    pub fn free_kb(&self, load: f64) -> f64 {
+        self.capacity_kb() * load - self.others_kb() - self.demand.kb
     }
 
-    /// Part of it that is asked.
-    pub fn used(&self) -> f64 {
-        self.seen.asked + (self.own.0 - self.seen.own.0) / self.told.max(1.0)
+    /// The present load.
+    pub fn load(&self) -> f64 {
+        self.sample.load + (self.demand.kb - self.sample.demand.kb) / self.listed_kb.max(1.0)
     }
 }
 
 impl Placement {
+    /// Listed capacity of a server's link.
     pub(super) fn link_kb(&self, server: &Server) -> f64 {
-        let places = |kind| self.terms.places_by_kind.get(kind).copied().unwrap_or(1.0);
+        let places = |kind| self.config.places_by_kind.get(kind).copied().unwrap_or(1.0);
         let size =
-            if self.terms.weights_listed { 1.0 } else { places(&server.entry.kind) / self.mean_places };
-        server.entry.weight * size * self.terms.link_unit_kb
+            if self.config.weights_listed { 1.0 } else { places(&server.entry.kind) / self.mean_places };
+        server.entry.weight * size * self.config.link_unit_kb
     }
 
-    pub(super) fn middle_kb(&self) -> f64 {
-        self.terms.ladder_kb.get(self.terms.ladder_kb.len() / 2).copied().unwrap_or(1.0)
+    /// Rate of the middle rung of the ladder.
+    pub(super) fn middle_rung_kb(&self) -> f64 {
+        self.config.ladder_kb.get(self.config.ladder_kb.len() / 2).copied().unwrap_or(1.0)
     }
 
-    /// What n of this manager's viewings may ask of a link or uplink: their part of its capacity.
-    pub(super) fn claim(&self, pipe: &Pipe, n: f64, fill: f64) -> f64 {
-        pipe.capacity() * fill * n / (n + self.others(pipe)).max(1e-6)
+    /// Rate that `units` of this manager's viewings may use of a link or uplink filled up to `load`: a part
+    /// of the capacity in proportion to their number.
+    pub(super) fn fair_share_kb(&self, link: &LinkState, units: f64, load: f64) -> f64 {
+        link.capacity_kb() * load * units / (units + self.others_count(link)).max(1e-6)
     }
 
-    /// The others' viewings, whether they belong to one manager or to hundreds: what they ask over the mean
-    /// rate of the ladder, that of this manager's viewings there, else of all it holds and a middle one.
-    pub(super) fn others(&self, pipe: &Pipe) -> f64 {
-        let there = Some(pipe.seen.own).filter(|own| own.1 > 0.0);
-        let (kb, n) = there.unwrap_or(added(self.own, (self.middle_kb(), 1.0)));
-        pipe.others_kb() / (kb / n).max(1e-6)
+    /// Estimated number of the other managers' viewings, however many managers there are: their demand over
+    /// the mean ladder rate of this manager's viewings at the link or, if it has none there, of all its
+    /// viewings and one at the middle rung.
+    pub(super) fn others_count(&self, link: &LinkState) -> f64 {
+        let at_link = Some(link.sample.demand).filter(|demand| demand.units > 0.0);
+        let middle = Demand { kb: self.middle_rung_kb(), units: 1.0 };
+        let demand = at_link.unwrap_or(self.demand.plus(middle));
+        link.others_kb() / (demand.kb / demand.units).max(1e-6)
     }
 
-    /// An uplink pools the swings of many viewings: where it is reported it may be filled further than a
-    /// link, and a shortage of it is sooner more than a swing. One that is not told at all limits nothing.
-    pub(super) fn uplink_claim(&self, uplink: &Pipe, n: f64, fill: f64) -> f64 {
-        match uplink.told {
-            told if told > 0.0 => self.claim(uplink, n, self.pooled(fill)),
+    /// Like `fair_share_kb` for an uplink. An uplink averages over many viewings: where it is reported it may
+    /// be filled further than a link, and a shortage is less likely to be a fluctuation. An uplink of unknown
+    /// capacity limits nothing.
+    pub(super) fn uplink_share_kb(&self, uplink: &LinkState, units: f64, load: f64) -> f64 {
+        match uplink.listed_kb {
+            listed if listed > 0.0 => self.fair_share_kb(uplink, units, self.uplink_load_limit(load)),
             _ => f64::INFINITY,
         }
     }
 
-    /// What was noted after this counts as known.
-    pub(super) fn fresh_from(&self) -> Ms {
-        self.now - (self.note_gap() * STALE + self.terms.report_delay)
-    }
-
-    /// What was seen, carried on to now: with hundreds of managers nearly all that happens since is others',
-    /// and what comes to all of them shows in what this one holds.
-    pub(super) fn carried(&self, told: f64, seen: Seen) -> Seen {
-        let few = ALIKE * (self.own.0 + self.middle_kb()) / (self.own.1 + 1.0);
-        let before = if seen.at >= self.whole_since { self.past.at(seen.at, self.own).0 } else { self.own.0 };
-        let grown = ((self.own.0 + few) / (before + few).max(1e-6)).min(GROWN);
-        let then = Pipe { told, seen, own: seen.own };
-        let others = then.others_kb() / then.capacity().max(1e-6);
-        Seen { asked: seen.asked + others * (grown - 1.0), ..seen }
-    }
-
-    /// The last note on a link; without one, the other managers' part is as elsewhere.
-    pub(super) fn link(&self, server: &Server) -> Pipe {
-        let (told, own) = (self.link_kb(server), server.own);
-        let known = server.seen.filter(|it| it.at > self.fresh_from()).map(|it| self.carried(told, it));
-        Pipe { told, seen: known.unwrap_or(self.usually(self.usual_link, told, own)), own }
-    }
-
-    pub(super) fn uplink(&self, server: &Server) -> Pipe {
-        let it = self.uplink_of(server);
-        Pipe { told: self.terms.uplink_kb, seen: self.uplink_seen(it), own: it.own }
+    /// Reports from after this time count as known.
+    pub(super) fn fresh_since(&self) -> Ms {
+        self.now - (self.note_gap() * STALE_NOTE_GAPS + self.config.report_delay)
+    }
+
+    /// A sample extrapolated to the present. With hundreds of managers nearly all changes since are due to
+    /// the others, and this manager's own demand indicates how theirs has grown.
+    pub(super) fn extrapolated(&self, listed_kb: f64, sample: LoadSample) -> LoadSample {
+        let prior =
+            GROWTH_PRIOR_VIEWINGS * (self.demand.kb + self.middle_rung_kb()) / (self.demand.units + 1.0);
+        let before = if sample.at >= self.history_valid_from {
+            self.demand_history.at(sample.at, self.demand).kb
+        } else {
+            self.demand.kb
+        };
+        let growth = ((self.demand.kb + prior) / (before + prior).max(1e-6)).min(MAX_GROWTH);
+        let link = LinkState { listed_kb, sample, demand: sample.demand };
+        let others_load = link.others_kb() / link.capacity_kb().max(1e-6);
+        LoadSample { load: sample.load + others_load * (growth - 1.0), ..sample }
+    }
+
+    /// State of a server's link by the last report; without one, the other managers' load is assumed to be
+    /// the mean of the known links.
+    pub(super) fn link_state(&self, server: &Server) -> LinkState {
+        let (listed_kb, demand) = (self.link_kb(server), server.demand);
+        let known = server
+            .sample
+            .filter(|sample| sample.at > self.fresh_since())
+            .map(|sample| self.extrapolated(listed_kb, sample));
+        let sample = known.unwrap_or(self.assumed_sample(self.mean_link_load, listed_kb, demand));
+        LinkState { listed_kb, sample, demand }
+    }
+
+    /// State of the uplink of a server's rack.
+    pub(super) fn uplink_state(&self, server: &Server) -> LinkState {
+        let uplink = self.uplink_of(server);
+        LinkState {
+            listed_kb: self.config.uplink_kb,
+            sample: self.uplink_sample(uplink),
+            demand: uplink.demand,
+        }
     }
 
-    pub(super) fn usually(&self, usual: f64, told: f64, own: Own) -> Seen {
-        let asked = usual * (1.0 - 1.0 / self.terms.manager_count.max(1.0)) + own.0 / told.max(1.0);
-        Seen { asked, own, at: self.now }
+    /// A sample in which the other managers cause their part of the mean load.
+    pub(super) fn assumed_sample(&self, mean_load: f64, listed_kb: f64, demand: Demand) -> LoadSample {
+        let others_load = mean_load * (1.0 - 1.0 / self.config.manager_count.max(1.0));
+        LoadSample { load: others_load + demand.kb / listed_kb.max(1.0), demand, at: self.now }
     }
 
-    pub(super) fn pooled(&self, fill: f64) -> f64 {
-        let least = if self.terms.uplinks_reported && !self.terms.reports_on_probe { FILL } else { 0.0 };
-        fill.clamp(least, DOWN_FILL)
+    /// The load up to which an uplink is filled where a link is filled up to `load`.
+    pub(super) fn uplink_load_limit(&self, load: f64) -> f64 {
+        let least =
+            if self.config.uplinks_reported && !self.config.reports_on_probe { ADMIT_LOAD } else { 0.0 };
+        load.clamp(least, STEP_DOWN_LOAD)
     }
 
-    /// The lesser of the link and the server's share of its rack's uplink.
-    pub(super) fn capacity(&self, server: &Server, fill: f64) -> f64 {
-        let (link, uplink) = (self.claim(&self.link(server), server.own.1, fill), self.uplink(server));
-        if fill >= EASED && self.uplink_known(self.uplink_of(server)).is_none() {
+    /// Rate that this manager's viewings may use at a server: the lesser of its share of the link and the
+    /// server's part of its share of the uplink.
+    pub(super) fn capacity_kb(&self, server: &Server, load: f64) -> f64 {
+        let link = self.fair_share_kb(&self.link_state(server), server.demand.units, load);
+        let uplink = self.uplink_state(server);
+        if load >= RELIEVED_LOAD && self.known_uplink_sample(self.uplink_of(server)).is_none() {
             return link;
         }
-        let (claim, own) = (self.uplink_claim(&uplink, uplink.own.1, fill), uplink.own.0);
-        link.min(if claim >= own { server.own.0 + claim - own } else { server.own.0 * claim / own })
-    }
-
-    pub(super) fn free_kb(&self, server: &Server, fill: f64) -> f64 {
-        let link = self.link(server).free_kb(fill);
-        if self.terms.uplink_kb <= 0.0 {
+        let share = self.uplink_share_kb(&uplink, uplink.demand.units, load);
+        let demand = uplink.demand.kb;
+        link.min(if share >= demand {
+            server.demand.kb + share - demand
+        } else {
+            server.demand.kb * share / demand
+        })
+    }
+
+    /// Rate that is left at a server up to this load, on its link and its uplink.
+    pub(super) fn free_kb(&self, server: &Server, load: f64) -> f64 {
+        let link = self.link_state(server).free_kb(load);
+        if self.config.uplink_kb <= 0.0 {
             return link;
         }
-        link.min(self.uplink(server).free_kb(self.pooled(fill)))
+        link.min(self.uplink_state(server).free_kb(self.uplink_load_limit(load)))
     }
 }
--- a/src/placement/notes.rs
+++ b/src/placement/notes.rs
@@ -1,70 +1,81 @@
-//! What is made of notes and reports on load.
+//! Evaluation of notes and load reports.
 
 use super::*;
 
+/// From this delivered share on, delivery does not count as short.
+pub(super) const FULL_DELIVERY: f64 = 0.98;
+
 impl Placement {
-    /// Time between two notes on a server, where any come; else between two probes.
+    /// Time between two notes about a server, or between two probes where load is reported only to those.
     pub(super) fn note_gap(&self) -> Ms {
-        if self.terms.reports_on_probe {
-            return (self.terms.report_delay * PROBE_GAP).max(self.join_target());
+        if self.config.reports_on_probe {
+            return (self.config.report_delay * PROBE_VALIDITY_DELAYS).max(self.join_target());
         }
-        self.terms.report_interval.max(self.terms.report_delay).max(self.beat())
+        self.config.report_interval.max(self.config.report_delay).max(self.review_interval())
     }
 
+    /// The shortest join target of all packages.
     pub(super) fn join_target(&self) -> Ms {
-        self.terms.packages.iter().map(|it| it.join_target).min().unwrap_or(Ms(1e3))
+        self.config.packages.iter().map(|package| package.join_target).min().unwrap_or(Ms(1e3))
     }
 
-    pub(super) fn beat(&self) -> Ms {
-        (self.join_target() * BEAT).max(self.terms.tick).max(Ms(1.0))
+    /// Time between two reviews of a server or a waiting viewing.
+    pub(super) fn review_interval(&self) -> Ms {
+        (self.join_target() * REVIEW_INTERVAL_SHARE).max(self.config.tick).max(Ms(1.0))
     }
 
-    /// A lot decides what is made of a note. One of a time before the last lot adds to what was known then
-    /// and is weighed with that lot; one of soon after it shows only a part of what all managers made of
-    /// that.
-    pub(super) fn draw_lot(&mut self, server: &ServerId, at: Ms, smoothing: Ms) {
-        let (lot, next) = (self.chance.part(), self.now + self.beat());
-        if let Some(it) = self.servers.get_mut(server) {
-            let sooner = it.look_at.min(next);
-            if it.lot_at + smoothing <= at {
-                (it.lot, it.lot_at) = (lot, self.now);
-                self.look(server, next);
-            } else if at < it.lot_at {
-                self.look(server, sooner);
+    /// Draws the server's step threshold anew for a note about the time `at`. A note from before the last
+    /// draw completes what was known then, so it is reviewed with that threshold. One from within `smoothing`
+    /// after it reflects the managers' reaction only in part, and is not acted on.
+    pub(super) fn draw_step_threshold(&mut self, id: &ServerId, at: Ms, smoothing: Ms) {
+        let (threshold, next) = (self.rng.unit(), self.now + self.review_interval());
+        if let Some(server) = self.servers.get_mut(id) {
+            let sooner = server.next_review.min(next);
+            if server.threshold_drawn_at + smoothing <= at {
+                (server.step_threshold, server.threshold_drawn_at) = (threshold, self.now);
+                self.review_at(id, next);
+            } else if at < server.threshold_drawn_at {
+                self.review_at(id, sooner);
             }
         }
     }
 
-    /// Reports are noisy, and short delivery is told: where viewings play and none was, no more is asked than
-    /// is given.
-    pub(super) fn not_short(&self, server: &ServerId, load: Load) -> Load {
-        let whole = |it: &Server| it.delivered.0 >= 0.98 && it.census.playing().next().is_some();
-        if !self.servers.get(server).is_some_and(whole) {
+    /// Limits reported loads to 1 at a server that plays viewings and delivers in full: reports are noisy,
+    /// whereas short delivery would have been noted.
+    pub(super) fn capped_by_delivery(&self, id: &ServerId, load: Load) -> Load {
+        let delivers_in_full = |server: &Server| {
+            server.delivered.share >= FULL_DELIVERY && server.viewings.playing().next().is_some()
+        };
+        if !self.servers.get(id).is_some_and(delivers_in_full) {
             return load;
         }
-        let most = |asked: f64| asked.min(1.0);
-        Load { link_uncapped: load.link_uncapped.map(most), uplink: load.uplink.map(most), ..load }
+        let capped = |load: f64| load.min(1.0);
+        Load { link_uncapped: load.link_uncapped.map(capped), uplink: load.uplink.map(capped), ..load }
     }
 
-    pub(super) fn note_link(&mut self, server: &ServerId, asked: f64, at: Ms) {
-        let Some(it) = self.servers.get_mut(server) else { return };
-        if it.seen.is_none_or(|it| it.at <= at) {
-            it.seen = Some(Seen { asked, own: it.own_at(at), at });
-            self.links.note(server, at, asked);
+    /// Records the load that a server's link had at that time, unless a later one is known.
+    pub(super) fn record_link_load(&mut self, id: &ServerId, load: f64, at: Ms) {
+        let Some(server) = self.servers.get_mut(id) else { return };
+        if server.sample.is_none_or(|sample| sample.at <= at) {
+            server.sample = Some(LoadSample { load, demand: server.demand_at(at), at });
+            self.link_loads.set(id, at, load);
         }
-        self.usual_link = self.links.mean(self.fresh_from()).unwrap_or(asked);
+        self.mean_link_load = self.link_loads.mean(self.fresh_since()).unwrap_or(load);
     }
 
-    /// Reports in answers are rougher than notes and stand in only where those are old.
-    pub(super) fn note_load(&mut self, server: &ServerId, load: Load, at: Ms) {
-        let old = |seen: Option<Seen>| seen.is_none_or(|it| self.now - it.at > self.terms.report_interval);
-        let Some(it) = self.servers.get(server) else { return };
-        let uplink_old = old(self.uplink_of(it).seen);
-        if let Some(asked) = load.link_uncapped.or(load.link).filter(|_| old(it.seen)) {
-            self.note_link(server, asked, at);
+    /// Records a load report from an answer. Such reports are less precise than notes, and are used only
+    /// where the last sample is old.
+    pub(super) fn record_report(&mut self, id: &ServerId, load: Load, at: Ms) {
+        let is_old = |sample: Option<LoadSample>| {
+            sample.is_none_or(|sample| self.now - sample.at > self.config.report_interval)
+        };
+        let Some(server) = self.servers.get(id) else { return };
+        let uplink_old = is_old(self.uplink_of(server).sample);
+        if let Some(link_load) = load.link_uncapped.or(load.link).filter(|_| is_old(server.sample)) {
+            self.record_link_load(id, link_load, at);
         }
-        if let Some(asked) = load.uplink.filter(|_| uplink_old) {
-            self.note_uplink(server, asked, at);
+        if let Some(uplink_load) = load.uplink.filter(|_| uplink_old) {
+            self.record_uplink_load(id, uplink_load, at);
         }
     }
 }
--- a/src/placement/pace.rs
+++ b/src/placement/pace.rs
@@ -1,80 +1,89 @@
-//! How fast a cold server is filled, and how long one that failed is left alone.
+//! The rate at which a cold server gets set-ups, and how long a server is avoided after a failure.
 
 use super::*;
 
 impl Placement {
-    /// Rule 4: this manager's part of what a cold server takes in any window; of one that is told to be cold,
-    /// no more than each earlier part allows, while others may go by theirs, or may count what was forgotten.
+    /// Rule 4: limits this manager's set-ups at a cold server to its part of what the server can take in any
+    /// window. At a server that is known to be cold each earlier slot share limits them as well: other
+    /// managers may still go by those, or may count slots that this manager has forgotten.
     pub(super) fn pace_allows(&self, server: &Server) -> bool {
-        let (cold, told) = (&self.terms.cold, self.now < server.cold_until);
-        let sure = server.failures == 0 && self.now >= self.unsure_until;
-        if cold.warm_up <= Ms(0.0) || (sure && !told) {
+        let (cold, known_cold) = (&self.config.cold, self.now < server.cold_until);
+        let known_warm = server.failures == 0 && self.now >= self.starts_unknown_until && !known_cold;
+        if cold.warm_up <= Ms(0.0) || known_warm {
             return true;
         }
-        let places = self.terms.places_by_kind.get(&server.entry.kind).copied().unwrap_or(0.0);
-        // Set-ups of a package may weigh more than the mean of all.
-        let weight = if self.terms.packages.len() > 1 { 1.5 } else { 1.0 };
-        let pace = places / cold.warm_up.0 * cold.start_capacity * cold.fall_multiple / weight;
-        let all = (pace * cold.fall_window.0).floor();
-        let earlier = self.earlier.iter().filter(|it| told && self.now < it.0).map(|it| &it.1);
-        earlier.chain([&self.slots]).all(|part| self.part_allows(server, all, part))
+        let places = self.config.places_by_kind.get(&server.entry.kind).copied().unwrap_or(0.0);
+        // With several packages the set-ups of one may weigh more than the mean.
+        let weight = if self.config.packages.len() > 1 { 1.5 } else { 1.0 };
+        let set_ups_per_ms = places / cold.warm_up.0 * cold.start_capacity * cold.fall_multiple / weight;
+        let window_limit = (set_ups_per_ms * cold.fall_window.0).floor();
+        let earlier = self
+            .earlier_slots
+            .iter()
+            .filter(|(until, _)| known_cold && self.now < *until)
+            .map(|(_, slots)| slots);
+        earlier.chain([&self.slots]).all(|slots| self.slots_allow(server, window_limit, slots))
     }
 
-    /// Where a part is under one a slot, as many slots as half a window bears have a turn together, a window
-    /// long: any window touches two.
-    fn part_allows(&self, server: &Server, all: f64, (slots, of): &(Vec<u64>, f64)) -> bool {
-        let window = self.terms.cold.send_window();
-        let since = |start: Ms| server.sent.iter().filter(|at| **at > start).count() as f64;
-        let each = (all / of).floor();
-        if each >= 1.0 {
-            return since(self.now - window) < each * slots.len() as f64;
+    /// Whether the slots allow another set-up when all managers together may send `window_limit` in a window.
+    /// If that is less than one for each slot, slots take turns of one window each; as many share a turn as
+    /// half the limit allows, since any window overlaps two turns.
+    fn slots_allow(&self, server: &Server, window_limit: f64, slots: &SlotSet) -> bool {
+        let window = self.config.cold.send_window();
+        let sent_since = |start: Ms| server.set_ups_sent.iter().filter(|at| **at > start).count() as f64;
+        let per_slot = (window_limit / slots.total).floor();
+        if per_slot >= 1.0 {
+            return sent_since(self.now - window) < per_slot * slots.mine.len() as f64;
         }
-        let length = window * if all >= 2.0 { 1.0 } else { 2.0 };
-        let turn = (self.now / length).floor();
-        let early = all >= 2.0 || self.now - length * turn < window;
-        let together = (all / 2.0).floor().max(1.0);
-        let shift = name_hash(&server.entry.server.to_string());
-        let whose = (turn + shift as f64).rem_euclid((of / together).ceil());
-        let mine = slots.iter().filter(|it| whose == (**it as f64 / together).floor()).count() as f64;
-        early && since(length * turn - Ms(1e-6)) < mine
+        let turn_length = window * if window_limit >= 2.0 { 1.0 } else { 2.0 };
+        let turn = (self.now / turn_length).floor();
+        let in_first_window = window_limit >= 2.0 || self.now - turn_length * turn < window;
+        let slots_per_turn = (window_limit / 2.0).floor().max(1.0);
+        let server_offset = name_hash(&server.entry.server.to_string());
+        let group_in_turn = (turn + server_offset as f64).rem_euclid((slots.total / slots_per_turn).ceil());
+        let has_turn = |slot: &&u64| group_in_turn == (**slot as f64 / slots_per_turn).floor();
+        let allowed = slots.mine.iter().filter(has_turn).count() as f64;
+        in_first_window && sent_since(turn_length * turn - Ms(1e-6)) < allowed
     }
 
-    /// Takes note of how a tune-in, a viewing or a probe ended.
-    pub(super) fn judge(&mut self, server: &ServerId, outcome: Outcome) {
-        let (join, gap) = (self.join_target(), self.note_gap());
-        let Some(server) = self.servers.get_mut(server) else { return };
-        let shunned = self.now < server.shunned_until;
+    /// Updates the server's health after a tune-in, a viewing or a probe.
+    pub(super) fn record_outcome(&mut self, id: &ServerId, outcome: Outcome) {
+        let (join_target, note_gap) = (self.join_target(), self.note_gap());
+        let Some(server) = self.servers.get_mut(id) else { return };
+        let avoided = self.now < server.avoid_until;
         match outcome {
             Outcome::Served => {
-                // It answers: if it had failed it may have restarted, at the latest just now.
+                // If it had failed it may have restarted, as late as just now.
                 if server.failures > 0 {
                     server.failures = 0;
-                    server.cold_until = server.cold_until.max(self.now + self.terms.cold.warm_up);
+                    server.cold_until = server.cold_until.max(self.now + self.config.cold.warm_up);
                 }
-                server.shunned_until = Ms::DISTANT_PAST;
+                server.avoid_until = Ms::DISTANT_PAST;
             }
-            Outcome::TurnedAway => server.shunned_until = self.now + gap * AWAY,
-            Outcome::NoConnection | Outcome::ConnectionLost | Outcome::NoAnswer if !shunned => {
+            Outcome::TurnedAway => server.avoid_until = self.now + note_gap * TURNED_AWAY_NOTE_GAPS,
+            Outcome::NoConnection | Outcome::ConnectionLost | Outcome::NoAnswer if !avoided => {
                 server.failures += 1;
-                let spell = join * 2f64.powi(server.failures.min(8) as i32 - 1);
-                server.shunned_until = self.now + spell.min(self.terms.cold.warm_up);
+                let delay = join_target * 2f64.powi(server.failures.min(8) as i32 - 1);
+                server.avoid_until = self.now + delay.min(self.config.cold.warm_up);
             }
             _ => {}
         }
     }
 
-    /// Takes note of one entry of the list: a server that has started anew is cold and has not failed.
-    pub(super) fn list(&mut self, entry: &ServerEntry) {
-        let cold_until = entry.started.map_or(Ms::DISTANT_PAST, |start| start + self.terms.cold.warm_up);
+    /// Records one entry of the list. A server with a newer start time is cold, and its failures no longer
+    /// keep it from being used.
+    pub(super) fn update_server(&mut self, entry: &ServerEntry) {
+        let warm_up = self.config.cold.warm_up;
+        let cold_until = entry.started.map_or(Ms::DISTANT_PAST, |start| start + warm_up);
         let server = self.servers.entry(entry.server.clone());
         let server = server.or_insert_with(|| Server::new(entry.clone(), cold_until));
         if server.entry.started < entry.started {
             server.cold_until = server.cold_until.max(cold_until);
-            server.shunned_until = Ms::DISTANT_PAST;
-            server.seen = None;
-            self.links.forget(&entry.server);
+            server.avoid_until = Ms::DISTANT_PAST;
+            server.sample = None;
+            self.link_loads.forget(&entry.server);
         }
-        let before = std::mem::replace(&mut server.entry, entry.clone());
-        self.register(entry, &before);
+        let previous = std::mem::replace(&mut server.entry, entry.clone());
+        self.index_server(entry, &previous);
     }
 }
--- a/src/placement/probes.rs
+++ b/src/placement/probes.rs
@@ -1,24 +1,26 @@
-//! Where load is told to probes only.
+//! Probes, where servers report their load only when asked.
 
 use super::*;
 
 impl Placement {
-    /// Asks a server for its load, once in a gap; true while the report is out.
-    pub(super) fn probe(&mut self, id: &ServerId, gap: Ms, out: Out) -> bool {
-        let (now, asks) = (self.now, self.terms.reports_on_probe);
-        let may = |it: &&mut Server| asks && it.entry.availability == Availability::Up;
-        let Some(it) = self.servers.get_mut(id).filter(may) else { return false };
-        if !it.probe_out && now - it.probed_at >= gap {
-            (it.probe_out, it.probed_at) = (true, now);
-            out.probe(id);
+    /// Probes a server unless it was probed within `gap`. Returns whether an answer is pending.
+    pub(super) fn request_probe(&mut self, id: &ServerId, gap: Ms, actions: Actions) -> bool {
+        let (now, reports_on_probe) = (self.now, self.config.reports_on_probe);
+        let may_probe =
+            |server: &&mut Server| reports_on_probe && server.entry.availability == Availability::Up;
+        let Some(server) = self.servers.get_mut(id).filter(may_probe) else { return false };
+        if !server.probe_pending && now - server.probed_at >= gap {
+            (server.probe_pending, server.probed_at) = (true, now);
+            actions.probe(id);
         }
-        it.probe_out
+        server.probe_pending
     }
 
-    /// Each manager probes at times of its own: so many viewings on the link or uplink, with one's own, act
-    /// on a report before it shows what the others made of theirs.
-    pub(super) fn seen_together(&self, server: &Server) -> f64 {
-        let most = self.others(&self.link(server)).max(self.others(&self.uplink(server)));
-        1.0 + most * (self.terms.report_delay * REPORT_AGE / self.note_gap())
+    /// Estimated number of viewings, this manager's one included, that act on reports of the server's link or
+    /// uplink before a report shows the effect of each other's steps. Managers probe at different times.
+    pub(super) fn concurrent_viewings(&self, server: &Server) -> f64 {
+        let link_count = self.others_count(&self.link_state(server));
+        let most = link_count.max(self.others_count(&self.uplink_state(server)));
+        1.0 + most * (self.config.report_delay * PROBE_REPORT_AGE_DELAYS / self.note_gap())
     }
 }
--- a/src/placement/steps.rs
+++ b/src/placement/steps.rs
@@ -1,94 +1,137 @@
-//! Steps up and down of viewings that play, and their pace.
+//! Steps of playing viewings to another rung, and how often they are made.
 
 use super::*;
 
+/// The step of one viewing to another rung.
+struct Step {
+    viewing: ViewingId,
+    rung: usize,
+    up: bool,
+}
+
 impl Placement {
-    /// Each server is weighed once a beat. While the bound is broken, its top-rung viewing steps down; once a
-    /// step fits for a settled spell, the one furthest below its request steps up. A step of which only a
-    /// part is this manager's is made with that chance: one lot is drawn for each note, so that all managers
-    /// together change by what the note asks.
-    pub(super) fn step(&mut self, out: Out) -> bool {
-        let due = self.held_at.iter().take_while(|it| it.0 <= self.now).map(|it| &it.1);
+    /// Reviews the servers that are due. If the rate bound exceeds the capacity, one viewing steps down; if
+    /// it has held for a while and a step up fits, one viewing steps up. Where only a part of a step is due
+    /// to this manager, it makes the step with that probability: the threshold is drawn once for each note,
+    /// so that all managers together make the change that the note calls for.
+    pub(super) fn change_rung(&mut self, actions: Actions) -> bool {
+        let due = self.review_queue.iter().take_while(|(at, _)| *at <= self.now).map(|(_, id)| id);
         let Some(id) = due.min().cloned() else { return false };
-        let (now, next) = (self.now, self.now + self.beat());
-        let asks = self.terms.reports_on_probe;
-        let silence = self.note_gap() * if asks { 1.0 } else { STALE };
-        let (before, next_probe) = (&self.servers[&id], self.servers[&id].next_probe);
-        if asks && next_probe <= now {
-            // Those who are handed viewings at the same moment must not ask, and act, in step.
+        let (now, next) = (self.now, self.now + self.review_interval());
+        let reports_on_probe = self.config.reports_on_probe;
+        let max_silence = self.note_gap() * if reports_on_probe { 1.0 } else { STALE_NOTE_GAPS };
+        let (server, next_probe) = (&self.servers[&id], self.servers[&id].next_probe);
+        if reports_on_probe && next_probe <= now {
+            // Managers that take over viewings at the same moment must not probe, and step, at the same
+            // times.
             let first = next_probe == Ms::DISTANT_PAST;
-            let wanted = !first && before.census.playing().any(|it| it.0.rung < it.0.best);
-            let wait = silence * (self.chance.part() + if first { 0.0 } else { 0.5 });
-            self.servers.get_mut(&id).into_iter().for_each(|it| it.next_probe = now + wait);
-            if wanted && self.probe(&id, Ms(0.0), out) {
-                self.look(&id, now + wait);
+            let below_max = |(class, _): (DemandClass, _)| class.rung < class.max_rung;
+            let wanted = !first && server.viewings.playing().any(below_max);
+            let wait = max_silence * (self.rng.unit() + if first { 0.0 } else { 0.5 });
+            if let Some(server) = self.servers.get_mut(&id) {
+                server.next_probe = now + wait;
+            }
+            if wanted && self.request_probe(&id, Ms(0.0), actions) {
+                self.review_at(&id, now + wait);
                 return true;
             }
-        } else if !asks && now - before.lot_at >= silence {
-            // Notes stay out: what is usual elsewhere stands in for them, and shortage would still be told.
-            self.draw_lot(&id, now, Ms(0.0));
+        } else if !reports_on_probe && now - server.threshold_drawn_at >= max_silence {
+            // Without notes the mean load of other servers is assumed; a shortage would still be noted.
+            self.draw_step_threshold(&id, now, Ms(0.0));
         }
-        let it = &self.servers[&id];
-        let (lot, held) = (it.lot, it.census.counts());
-        let asked = self.bound(&held);
-        // A step into what is free may outgrow a part: nobody steps down for it while the whole holds.
-        let over = asked - it.own.0 > self.free_kb(it, DOWN_FILL);
-        let broken = over && asked > self.capacity(it, DOWN_FILL);
-        let settled = now - it.unsettled_at >= self.note_gap() * SETTLED + self.terms.change_cost * PAID_BACK;
-        // Alone at a server a manager can't see whose step there costs least worth: its other viewings tell.
-        let leans = |it: &Asker| self.spared(it) * self.own.0 / self.spared_all;
-        let changed = if broken {
-            let may = |it: &(Asker, &ViewingId)| it.0.rung > self.terms.packages[it.0.package.0].floor;
-            let top = it.census.playing().filter(may);
-            let top = top.max_by(|a, b| self.goes_down(&a.0, &b.0).then(a.1.cmp(b.1)));
-            let short = asked - self.capacity(it, EASED);
-            let part = |it: &(Asker, &ViewingId)| {
-                let less = self.bound(&moved(&held, it.0, 1.0, it.0.rung.0 - 1));
-                short * leans(&it.0) >= lot * (asked - less)
-            };
-            top.filter(part).map(|(asker, vw)| (vw.clone(), asker.rung.0 - 1))
-        } else if settled {
-            let low = it.census.playing().filter(|it| it.0.rung < it.0.best && self.pays_back(it));
-            let low = low.max_by(|a, b| self.goes_up(&a.0, &b.0).then(a.1.cmp(b.1)));
-            let free = self.free_kb(it, if asks { PROBED_FILL } else { UP_FILL });
-            let room = if asks { free / self.seen_together(it) } else { self.capacity(it, UP_FILL) - asked };
-            let part = |it: &(Asker, &ViewingId)| {
-                let step = self.bound(&moved(&held, it.0, 1.0, it.0.rung.0 + 1)) - asked;
-                let root = ((DRAWN_PHI * DRAWN_PHI + 4.0 * free / step).max(0.0).sqrt() - DRAWN_PHI) / 2.0;
-                free >= step && room * (root * root * step / free) >= lot * step * leans(&it.0)
-            };
-            low.filter(part).map(|(asker, vw)| (vw.clone(), asker.rung.0 + 1))
+        let server = &self.servers[&id];
+        let bound = self.rate_bound(&server.viewings.counts());
+        // Viewings may exceed this manager's share by steps into free capacity. Nobody steps down for that
+        // while the server as a whole has enough.
+        let over_whole = bound - server.demand.kb > self.free_kb(server, STEP_DOWN_LOAD);
+        let exceeded = over_whole && bound > self.capacity_kb(server, STEP_DOWN_LOAD);
+        let settle_time =
+            self.note_gap() * SETTLED_NOTE_GAPS + self.config.change_cost * SETTLED_CHANGE_COSTS;
+        let step = if exceeded {
+            self.step_down(server, bound)
+        } else if now - server.unsettled_at >= settle_time {
+            self.step_up(server, bound)
         } else {
             None
         };
-        let raised = changed.is_some() && !broken;
-        let again = self.terms.report_delay
-            * PROBE_AGAIN
-            * if asks && raised { self.chance.part() + 0.5 } else { 0.0 };
-        if let Some(it) = self.servers.get_mut(&id) {
-            it.unsettled_at = if broken { now } else { it.unsettled_at };
-            it.next_probe = if raised { it.next_probe.min(now + again) } else { it.next_probe };
+        let raised = step.as_ref().is_some_and(|step| step.up);
+        let probe_after = if reports_on_probe && raised { self.rng.unit() + 0.5 } else { 0.0 };
+        let probe_after = self.config.report_delay * REPROBE_DELAYS * probe_after;
+        if let Some(server) = self.servers.get_mut(&id) {
+            server.unsettled_at = if exceeded { now } else { server.unsettled_at };
+            server.next_probe =
+                if raised { server.next_probe.min(now + probe_after) } else { server.next_probe };
         }
-        let at = match changed {
-            Some(_) if broken => next,
-            Some(_) => now + (self.terms.report_interval * UP_PACE).max(self.beat()),
-            None if asks => self.servers[&id].next_probe.max(next),
-            None => now + silence,
+        let next_review = match step {
+            Some(_) if exceeded => next,
+            Some(_) => now + (self.config.report_interval * STEP_UP_SPACING).max(self.review_interval()),
+            None if reports_on_probe => self.servers[&id].next_probe.max(next),
+            None => now + max_silence,
         };
-        self.look(&id, at);
-        if let Some((vw, rung)) = changed {
-            out.step_to(&vw, Rung(rung));
-            self.amend(&vw, |it| it.rung = Rung(rung));
+        self.review_at(&id, next_review);
+        if let Some(Step { viewing, rung, .. }) = step {
+            actions.step_to(&viewing, Rung(rung));
+            self.update_viewing(&viewing, |viewing| viewing.rung = Rung(rung));
         }
         true
     }
 
-    /// False for a viewing that, by its hint, ends before a step up has earned twice what a change costs.
-    pub(super) fn pays_back(&self, (asker, vw): &(Asker, &ViewingId)) -> bool {
-        let it = &self.viewings[*vw];
-        let worth = |rung: usize| self.terms.rung_values.get(rung).copied().unwrap_or(rung as f64);
-        let gain = worth(asker.rung.0 + 1) - worth(asker.rung.0);
-        let needs = self.terms.change_cost * (2.0 / gain.max(1e-3));
-        it.wish.expected_duration.is_none_or(|lasts| it.started + lasts - self.now >= needs)
+    /// The step down that a server with this rate bound needs, if it is due to this manager.
+    fn step_down(&self, server: &Server, bound: f64) -> Option<Step> {
+        let above_floor =
+            |(class, _): &(DemandClass, &ViewingId)| class.rung > self.config.packages[class.package.0].floor;
+        let movable = server.viewings.playing().filter(above_floor);
+        let (class, viewing) = movable.max_by(|(class_a, id_a), (class_b, id_b)| {
+            self.step_down_order(class_a, class_b).then(id_a.cmp(id_b))
+        })?;
+        let excess = bound - self.capacity_kb(server, RELIEVED_LOAD);
+        let rung = class.rung.0 - 1;
+        let freed = bound - self.rate_bound(&with_moved(&server.viewings.counts(), class, 1.0, rung));
+        let due = excess * self.relative_rate_per_value(&class) >= server.step_threshold * freed;
+        due.then(|| Step { viewing: viewing.clone(), rung, up: false })
+    }
+
+    /// The step up for which a server with this rate bound has room, if it is due to this manager.
+    fn step_up(&self, server: &Server, bound: f64) -> Option<Step> {
+        let reports_on_probe = self.config.reports_on_probe;
+        let raisable = server
+            .viewings
+            .playing()
+            .filter(|playing| playing.0.rung < playing.0.max_rung && self.pays_back(playing));
+        let (class, viewing) = raisable.max_by(|(class_a, id_a), (class_b, id_b)| {
+            self.step_up_order(class_a, class_b).then(id_a.cmp(id_b))
+        })?;
+        let free = self.free_kb(server, if reports_on_probe { PROBED_STEP_UP_LOAD } else { STEP_UP_LOAD });
+        let room = if reports_on_probe {
+            free / self.concurrent_viewings(server)
+        } else {
+            self.capacity_kb(server, STEP_UP_LOAD) - bound
+        };
+        let rung = class.rung.0 + 1;
+        let needed = self.rate_bound(&with_moved(&server.viewings.counts(), class, 1.0, rung)) - bound;
+        // The expected number n of steps that fits with its margin: n + z * sqrt(n) = free / needed.
+        let margin = (STEP_UP_QUANTILE * STEP_UP_QUANTILE + 4.0 * free / needed).max(0.0).sqrt();
+        let root = (margin - STEP_UP_QUANTILE) / 2.0;
+        let own_room = room * (root * root * needed / free);
+        let due_rate = server.step_threshold * needed * self.relative_rate_per_value(&class);
+        let due = free >= needed && own_room >= due_rate;
+        due.then(|| Step { viewing: viewing.clone(), rung, up: true })
+    }
+
+    /// Rate that a step of the class frees for its value, over the mean of all of this manager's viewings. A
+    /// manager that is alone at a server cannot know whose step there costs the least value; its other
+    /// viewings serve as an estimate.
+    fn relative_rate_per_value(&self, class: &DemandClass) -> f64 {
+        self.rate_per_value(class) * self.demand.kb / self.freed_rate_sum
+    }
+
+    /// False for a viewing that, by its expected duration, ends before a step up has earned twice its cost.
+    pub(super) fn pays_back(&self, (class, id): &(DemandClass, &ViewingId)) -> bool {
+        let viewing = &self.viewings[*id];
+        let rung_value = |rung: usize| self.config.rung_values.get(rung).copied().unwrap_or(rung as f64);
+        let gain = rung_value(class.rung.0 + 1) - rung_value(class.rung.0);
+        let needed = self.config.change_cost * (2.0 / gain.max(1e-3));
+        let time_left = |duration: Ms| viewing.started_at + duration - self.now;
+        viewing.request.expected_duration.is_none_or(|duration| time_left(duration) >= needed)
     }
 }
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -1,4 +1,4 @@
-//! Shapes that the tests of all rooms build on.
+//! Helpers shared by the tests of all modules.
 
 mod cold_fleet;
 mod cold_ramp;
@@ -8,8 +8,8 @@
 mod lists;
 mod pace;
 mod pick;
-mod plain;
 mod probes;
+mod reference;
 mod rules;
 mod split;
 mod steps;
@@ -19,16 +19,16 @@
 use crate::config::{ColdStart, Package, ResendBudget, Tenant};
 use crate::ids::{Cell, HardwareKind, ManagerIndex};
 
-/// Keeps what was said, a word each.
+/// Records each action as a line of text, except scheduled timers.
 #[derive(Default)]
-struct Said(Vec<String>);
+struct RecordedActions(Vec<String>);
 
-impl PlacementActions for Said {
+impl PlacementActions for RecordedActions {
     fn tune_in(&mut self, _: &ViewingId, server: &ServerId, time_out: Ms) {
-        self.0.push(format!("relay {server} {}", time_out.0));
+        self.0.push(format!("tune_in {server} {}", time_out.0));
     }
-    fn step_to(&mut self, vw: &ViewingId, rung: Rung) {
-        self.0.push(format!("{vw} to {}", rung.0));
+    fn step_to(&mut self, viewing: &ViewingId, rung: Rung) {
+        self.0.push(format!("{viewing} to {}", rung.0));
     }
     fn shed(&mut self, _: &ViewingId, stay_away: Option<Ms>) {
         self.0.push(stay_away.map_or("shed".into(), |span| format!("shed {}", span.0)));
@@ -41,13 +41,13 @@
         self.0.push("subscribe".into());
     }
     fn probe(&mut self, server: &ServerId) {
-        self.0.push(format!("inspect {server}"));
+        self.0.push(format!("probe {server}"));
     }
 }
 
 fn package(value: f64) -> Package {
     Package {
-        name: format!("worth {value}"),
+        name: format!("value {value}"),
         value,
         join_target: Ms(1000.0),
         semantics: RequestSemantics::Idempotent,
@@ -59,8 +59,9 @@
     }
 }
 
-/// Rates 1, 2, 4 and 8; a link of 100, an uplink of 1000; two managers; 6 set-ups in any cold second.
-fn terms() -> PlacementConfig {
+/// Ladder rates 1, 2, 4 and 8; links of 100 and uplinks of 1000; two managers; 6 set-ups within any second at
+/// a cold server.
+fn config() -> PlacementConfig {
     PlacementConfig {
         manager: ManagerIndex(0),
         manager_count: 2.0,
@@ -97,6 +98,13 @@
     }
 }
 
+/// Like `config`, with live titles in the first package.
+fn live_config() -> PlacementConfig {
+    let mut config = PlacementConfig { live_join_share: 0.25, ..config() };
+    config.packages[0].live = true;
+    config
+}
+
 fn entry(server: &str, cell: u64) -> ServerEntry {
     ServerEntry {
         kind: "k".into(),
@@ -109,9 +117,9 @@
     }
 }
 
-fn wish(vw: &str) -> ViewingRequest {
+fn request(viewing: &str) -> ViewingRequest {
     ViewingRequest {
-        viewing: vw.into(),
+        viewing: viewing.into(),
         package: PackageIndex(0),
         tenant: None,
         title: "film".into(),
@@ -123,41 +131,42 @@
     }
 }
 
-/// At 100 s, long after its start, with servers s0, s1, ... in cells 0, 1, ...
-fn placement(terms: PlacementConfig, servers: usize) -> Placement {
-    let mut it = Placement::new(Ms(0.0), 7, terms, &mut Said::default());
-    it.now = Ms(100_000.0);
+/// A placement at 100 s, long after its start, with servers s0, s1, ... in cells 0, 1, ...
+fn placement_with(config: PlacementConfig, servers: usize) -> Placement {
+    let mut placement = Placement::new(Ms(0.0), 7, config, &mut RecordedActions::default());
+    placement.now = Ms(100_000.0);
     for cell in 0..servers {
-        let entry = entry(&format!("s{cell}"), cell as u64);
-        it.list(&entry);
+        placement.update_server(&entry(&format!("s{cell}"), cell as u64));
     }
-    it
+    placement
 }
 
-fn tried(server: &str, outcome: Option<Outcome>) -> TuneIn {
-    TuneIn { server: server.into(), sent: Ms(99_900.0), outcome }
+/// A tune-in that was sent 100 ms ago.
+fn tune_in_at(server: &str, outcome: Option<Outcome>) -> TuneIn {
+    TuneIn { server: server.into(), sent_at: Ms(99_900.0), outcome }
 }
 
-fn add(placement: &mut Placement, vw: &str, phase: Phase, rung: usize, tune_ins: Vec<TuneIn>) -> Viewing {
-    placement.take(wish(vw), phase, tune_ins, false);
-    placement.amend(&vw.into(), |it| it.rung = Rung(rung));
-    placement.viewings[&vw.into()].clone()
+fn insert_viewing(
+    placement: &mut Placement,
+    id: &str,
+    phase: Phase,
+    rung: usize,
+    tune_ins: Vec<TuneIn>,
+) -> Viewing {
+    placement.add_viewing(request(id), phase, tune_ins, false);
+    placement.update_viewing(&id.into(), |viewing| viewing.rung = Rung(rung));
+    placement.viewings[&id.into()].clone()
 }
 
-fn playing(placement: &mut Placement, vw: &str, server: &str, rung: usize) -> Viewing {
-    add(placement, vw, Phase::Playing, rung, vec![tried(server, None)])
+fn insert_playing(placement: &mut Placement, id: &str, server: &str, rung: usize) -> Viewing {
+    insert_viewing(placement, id, Phase::Playing, rung, vec![tune_in_at(server, None)])
 }
 
-fn server<'a>(placement: &'a mut Placement, id: &str) -> &'a mut Server {
+fn server_mut<'a>(placement: &'a mut Placement, id: &str) -> &'a mut Server {
     placement.servers.get_mut(&id.into()).unwrap()
 }
 
-fn asker(package: usize, best: usize, over_share: bool) -> Asker {
-    Asker { package: PackageIndex(package), best: Rung(best), rung: Rung(best), over_share }
-}
-
-fn live() -> PlacementConfig {
-    let mut terms = PlacementConfig { live_join_share: 0.25, ..terms() };
-    terms.packages[0].live = true;
-    terms
+/// A class of viewings at their highest rung.
+fn class_at(package: usize, rung: usize, over_share: bool) -> DemandClass {
+    DemandClass { package: PackageIndex(package), max_rung: Rung(rung), rung: Rung(rung), over_share }
 }
--- a/src/placement/tests/lists.rs
+++ b/src/placement/tests/lists.rs
@@ -1,36 +1,39 @@
-//! The list of servers.
+//! Updates of the server list.
 
 use super::*;
 use test_case::test_case;
 
 #[test]
-fn a_full_list_without_a_server_makes_it_gone() {
-    let mut it = placement(terms(), 2);
-    it.update_servers(Ms(100_000.0), ListMode::Full, &[entry("s1", 1)], &mut Said::default());
-    assert_eq!(it.servers[&"s0".into()].entry.availability, Availability::Gone);
+fn a_server_missing_from_a_full_list_is_gone() {
+    let mut placement = placement_with(config(), 2);
+    let mut actions = RecordedActions::default();
+    placement.update_servers(Ms(100_000.0), ListMode::Full, &[entry("s1", 1)], &mut actions);
+    assert_eq!(placement.servers[&"s0".into()].entry.availability, Availability::Gone);
 }
 
 #[test]
-fn asks_for_the_list_where_it_is_not_pushed() {
-    let mut said = Said::default();
-    let mut it = Placement::new(Ms(0.0), 1, PlacementConfig { must_subscribe: true, ..terms() }, &mut said);
-    it.update_servers(Ms(1.0), ListMode::Failed, &[], &mut said);
-    assert_eq!(said.0, ["subscribe", "subscribe"]);
+fn subscribes_at_start_and_again_after_a_failure_where_required() {
+    let mut actions = RecordedActions::default();
+    let config = PlacementConfig { must_subscribe: true, ..config() };
+    let mut placement = Placement::new(Ms(0.0), 1, config, &mut actions);
+    placement.update_servers(Ms(1.0), ListMode::Failed, &[], &mut actions);
+    assert_eq!(actions.0, ["subscribe", "subscribe"]);
 }
 
-/// Replacements would add up: one that has long been off the list and holds nothing is forgotten, none else.
+/// Only a server that has long been off the list and holds no viewing is forgotten. Without that, replaced
+/// servers accumulate.
 #[test_case(31_000.0, false, false; "long gone")]
-#[test_case(29_000.0, false, true; "just gone")]
-#[test_case(31_000.0, true, true; "something plays there")]
-fn a_server_is_forgotten(after: f64, plays: bool, kept: bool) {
-    let mut placement = placement(terms(), 2);
+#[test_case(29_000.0, false, true; "recently gone")]
+#[test_case(31_000.0, true, true; "a viewing still plays there")]
+fn a_gone_server_is_forgotten(after: f64, plays: bool, kept: bool) {
+    let mut placement = placement_with(config(), 2);
     if plays {
-        playing(&mut placement, "a", "s0", 0);
+        insert_playing(&mut placement, "a", "s0", 0);
     }
     let gone = ServerEntry { availability: Availability::Gone, ..entry("s0", 0) };
-    let (now, mut said) = (placement.now, Said::default());
-    placement.update_servers(now, ListMode::Incremental, &[gone], &mut said);
-    placement.update_servers(now + Ms(after), ListMode::Incremental, &[entry("s1", 1)], &mut said);
+    let (now, mut actions) = (placement.now, RecordedActions::default());
+    placement.update_servers(now, ListMode::Incremental, &[gone], &mut actions);
+    placement.update_servers(now + Ms(after), ListMode::Incremental, &[entry("s1", 1)], &mut actions);
     assert_eq!(placement.servers.contains_key(&"s0".into()), kept);
     assert!(placement.servers.contains_key(&"s1".into()));
 }
--- a/src/placement/tests/probes.rs
+++ b/src/placement/tests/probes.rs
@@ -1,72 +1,75 @@
-//! Load that is told to probes only.
+//! Load that is reported only to probes.
 
 use super::*;
 use test_case::test_case;
 
-/// Load is told to probes only; notes are one second late.
+/// Reports only on probes, and one second late.
 fn probing() -> PlacementConfig {
-    PlacementConfig { reports_on_probe: true, report_interval: Ms(0.0), ..terms() }
+    PlacementConfig { reports_on_probe: true, report_interval: Ms(0.0), ..config() }
 }
 
-fn told(asked: f64) -> Load {
-    Load { link_uncapped: Some(asked), uplink: Some(0.1), ..Load::default() }
+fn reported(link_load: f64) -> Load {
+    Load { link_uncapped: Some(link_load), uplink: Some(0.1), ..Load::default() }
 }
 
-fn asked_for(it: &mut Placement) -> Said {
-    let mut said = Said::default();
-    it.request_viewing(it.now, wish("new"), &mut said);
-    said
+fn request_new(placement: &mut Placement) -> RecordedActions {
+    let mut actions = RecordedActions::default();
+    placement.request_viewing(placement.now, request("new"), &mut actions);
+    actions
 }
 
-// Load that only probes tell is asked of the two picks; the viewing goes to the emptier once both have
-// answered.
+/// The viewing goes to the less loaded candidate once both have answered.
 #[test]
-fn the_picks_are_asked_first() {
-    let mut it = placement(probing(), 2);
-    let mut said = asked_for(&mut it);
-    said.0.sort();
-    assert_eq!(said.0, ["inspect s0", "inspect s1"]);
-    let (mut one, mut both, now) = (Said::default(), Said::default(), it.now + Ms(20.0));
-    it.probe_ended(now, &"s0".into(), Outcome::Served, told(0.9), &mut one);
+fn both_candidates_are_probed_first() {
+    let mut placement = placement_with(probing(), 2);
+    let mut actions = request_new(&mut placement);
+    actions.0.sort();
+    assert_eq!(actions.0, ["probe s0", "probe s1"]);
+    let (mut one, mut both) = (RecordedActions::default(), RecordedActions::default());
+    let now = placement.now + Ms(20.0);
+    placement.probe_ended(now, &"s0".into(), Outcome::Served, reported(0.9), &mut one);
     assert!(one.0.is_empty(), "{:?}", one.0);
-    it.probe_ended(now, &"s1".into(), Outcome::Served, told(0.1), &mut both);
-    assert!(both.0.iter().any(|it| it.starts_with("relay s1")), "{:?}", both.0);
+    placement.probe_ended(now, &"s1".into(), Outcome::Served, reported(0.1), &mut both);
+    assert!(both.0.iter().any(|line| line.starts_with("tune_in s1")), "{:?}", both.0);
 }
 
-#[test_case(199.0, 0; "still waited for")]
-#[test_case(200.0, 1; "a fifth of the join target is all")]
-fn probes_that_stay_out_hold_up_nobody(later: f64, relays: usize) {
-    let mut it = placement(probing(), 2);
-    asked_for(&mut it);
-    let mut said = Said::default();
-    it.timer_fired(it.now + Ms(later), TimerTag(0), &mut said);
-    assert_eq!(said.0.iter().filter(|it| it.starts_with("relay")).count(), relays);
+#[test_case(199.0, 0; "still waiting")]
+#[test_case(200.0, 1; "after a fifth of the join target")]
+fn unanswered_probes_delay_a_viewing_only_briefly(later: f64, tune_ins: usize) {
+    let mut placement = placement_with(probing(), 2);
+    request_new(&mut placement);
+    let mut actions = RecordedActions::default();
+    placement.timer_fired(placement.now + Ms(later), TimerTag(0), &mut actions);
+    assert_eq!(actions.0.iter().filter(|line| line.starts_with("tune_in")).count(), tune_ins);
 }
 
 #[test]
-fn no_probe_where_load_is_told_otherwise() {
-    let mut it = placement(terms(), 2);
-    assert!(!asked_for(&mut it).0.iter().any(|it| it.starts_with("inspect")));
+fn no_probe_is_sent_where_load_is_reported_otherwise() {
+    let mut placement = placement_with(config(), 2);
+    assert!(!request_new(&mut placement).0.iter().any(|line| line.starts_with("probe")));
 }
 
-// Boxes that lose the answers of tune-ins still answer probes.
+/// A server whose tune-ins get no answer may still answer probes.
 #[test_case(Outcome::Served, 1; "an answer proves nothing")]
-#[test_case(Outcome::TurnedAway, 1; "nor does a full table of probes")]
-#[test_case(Outcome::NoConnection, 2; "a dead one does")]
-fn a_probe_clears_no_failure(outcome: Outcome, failures: u32) {
-    let mut it = placement(probing(), 1);
-    it.judge(&"s0".into(), Outcome::NoAnswer);
-    let later = it.now + Ms(1500.0);
-    it.probe_ended(later, &"s0".into(), outcome, told(0.5), &mut Said::default());
-    assert_eq!(it.servers[&"s0".into()].failures, failures);
+#[test_case(Outcome::TurnedAway, 1; "a refused probe proves nothing")]
+#[test_case(Outcome::NoConnection, 2; "a failed probe counts")]
+fn an_answered_probe_clears_no_failure(outcome: Outcome, failures: u32) {
+    let mut placement = placement_with(probing(), 1);
+    placement.record_outcome(&"s0".into(), Outcome::NoAnswer);
+    let later = placement.now + Ms(1500.0);
+    placement.probe_ended(later, &"s0".into(), outcome, reported(0.5), &mut RecordedActions::default());
+    assert_eq!(placement.servers[&"s0".into()].failures, failures);
 }
 
-#[test_case(1.0, 1.0; "none was told: reports are noisy")]
-#[test_case(0.8, 1.3; "one was told")]
-fn no_more_is_asked_than_given_where_no_shortage_is_told(delivered: f64, expected: f64) {
-    let mut it = placement(probing(), 1);
-    playing(&mut it, "a", "s0", 1);
-    server(&mut it, "s0").delivered = (delivered, it.now);
-    it.probe_ended(it.now, &"s0".into(), Outcome::Served, told(1.3), &mut Said::default());
-    assert_eq!(it.servers[&"s0".into()].seen.map(|it| it.asked), Some(expected));
+/// Reports are noisy, and a shortage would have been noted.
+#[test_case(1.0, 1.0; "no shortage noted")]
+#[test_case(0.8, 1.3; "shortage noted")]
+fn a_reported_load_is_at_most_1_unless_delivery_is_short(delivered: f64, expected: f64) {
+    let mut placement = placement_with(probing(), 1);
+    insert_playing(&mut placement, "a", "s0", 1);
+    let now = placement.now;
+    server_mut(&mut placement, "s0").delivered = Delivered { share: delivered, at: now };
+    let mut actions = RecordedActions::default();
+    placement.probe_ended(now, &"s0".into(), Outcome::Served, reported(1.3), &mut actions);
+    assert_eq!(placement.servers[&"s0".into()].sample.map(|sample| sample.load), Some(expected));
 }
--- a/src/placement/tests/split.rs
+++ b/src/placement/tests/split.rs
@@ -1,68 +1,78 @@
-//! Who plays at which rung.
+//! The split of a server's capacity into rungs.
 
 use super::*;
 use test_case::test_case;
 
-// With phi of 0.1 a rung of rate r holds n viewings at r x (n + 0.1 x root of n): 1.1 r, 2.1414 r, 3.1732 r.
+/// With a quantile of 0.1, n viewings at a rung of rate r need r * (n + 0.1 * sqrt(n)): 1.1 r, 2.1414 r,
+/// 3.1732 r.
 #[test_case(&[3], 8.8, &[3]; "one fits exactly")]
 #[test_case(&[3], 8.79, &[2]; "one step")]
 #[test_case(&[3, 3], 17.14, &[3, 3]; "two fit")]
-#[test_case(&[3, 3], 13.21, &[2, 3]; "a share of one steps")]
+#[test_case(&[3, 3], 13.21, &[2, 3]; "one of two steps down")]
 #[test_case(&[3, 3], 6.61, &[1, 2]; "several rungs")]
-#[test_case(&[3, 1], 6.61, &[1, 2]; "top rung before lower request")]
+#[test_case(&[3, 1], 6.61, &[1, 2]; "the top rung before a lower request")]
 #[test_case(&[3, 3, 3], 0.5, &[0, 0, 0]; "nothing fits")]
-fn split_moves_top_rungs_down_just_enough(best: &[usize], capacity: f64, expected: &[usize]) {
-    let askers: Vec<Counted> = best.iter().map(|best| (asker(0, *best, false), 1.0)).collect();
-    let split = placement(terms(), 0).split(&askers, capacity, 1e-9);
-    let mut rungs: Vec<usize> = split.iter().flat_map(|it| vec![it.0.rung.0; it.1 as usize]).collect();
+fn split_moves_top_rungs_down_just_enough(max_rungs: &[usize], capacity: f64, expected: &[usize]) {
+    let counts: Vec<ClassCount> = max_rungs.iter().map(|rung| (class_at(0, *rung, false), 1.0)).collect();
+    let split = placement_with(config(), 0).split(&counts, capacity, 1e-9);
+    let mut rungs: Vec<usize> =
+        split.iter().flat_map(|(class, count)| vec![class.rung.0; *count as usize]).collect();
     rungs.sort();
     assert_eq!(rungs, expected);
 }
 
-#[test_case(asker(0, 3, false), asker(1, 3, false), &[2, 3]; "lower value first")]
-#[test_case(asker(1, 3, true), asker(0, 3, false), &[2, 3]; "over its share before value")]
-fn split_spares_value_and_those_within_their_share(one: Asker, other: Asker, expected: &[usize]) {
-    let split = placement(terms(), 0).split(&[(one, 1.0), (other, 1.0)], 13.21, 1e-9);
-    let rung = |of: Asker| split.iter().find(|it| it.0.package == of.package).map(|it| it.0.rung.0);
-    assert_eq!([rung(one), rung(other)].map(Option::unwrap), expected);
+#[test_case(class_at(0, 3, false), class_at(1, 3, false), &[2, 3]; "lower value first")]
+#[test_case(class_at(1, 3, true), class_at(0, 3, false), &[2, 3]; "beyond an allowance before lower value")]
+fn split_lowers_viewings_beyond_an_allowance_and_of_low_value_first(
+    lowered: DemandClass,
+    kept: DemandClass,
+    expected: &[usize],
+) {
+    let split = placement_with(config(), 0).split(&[(lowered, 1.0), (kept, 1.0)], 13.21, 1e-9);
+    let rung = |package: PackageIndex| {
+        split.iter().find(|(class, _)| class.package == package).map(|(class, _)| class.rung.0)
+    };
+    assert_eq!([rung(lowered.package), rung(kept.package)].map(Option::unwrap), expected);
 }
 
 #[test]
-fn rule_5_no_rung_under_the_floor() {
-    let mut terms = terms();
-    terms.packages[0].floor = Rung(2);
-    terms.link_unit_kb = 0.1;
-    let mut it = placement(terms, 1);
-    let viewing = add(&mut it, "a", Phase::Waiting, 2, vec![]);
-    assert_eq!(it.draw(&viewing, &"s0".into()), Rung(2));
+fn rule_5_no_rung_is_below_the_floor() {
+    let mut config = config();
+    config.packages[0].floor = Rung(2);
+    config.link_unit_kb = 0.1;
+    let mut placement = placement_with(config, 1);
+    let viewing = insert_viewing(&mut placement, "a", Phase::Waiting, 2, vec![]);
+    assert_eq!(placement.draw_rung(&viewing, &"s0".into()), Rung(2));
 }
 
-// In a growing crowd newcomers took a rung that fitted only once others had stepped down.
+/// Otherwise, in a growing crowd, new viewings get rungs that fit only after others have stepped down.
 #[test_case(0.5, 3; "there is room")]
 #[test_case(0.9779, 1; "little is free")]
 #[test_case(1.2, 0; "nothing is free")]
-fn a_newcomer_asks_for_no_more_than_is_free(asked: f64, expected: usize) {
-    let mut it = placement(terms(), 1);
-    it.own = (800.0, 100.0);
-    it.note_uplink(&"s0".into(), 0.2, it.now);
-    it.note_link(&"s0".into(), asked, it.now);
-    it.chance.part();
-    let viewing = add(&mut it, "a", Phase::Waiting, 0, vec![]);
-    assert_eq!(it.draw(&viewing, &"s0".into()), Rung(expected));
+fn a_new_viewing_uses_no_more_than_is_free(load: f64, expected: usize) {
+    let mut placement = placement_with(config(), 1);
+    placement.demand = Demand { kb: 800.0, units: 100.0 };
+    placement.record_uplink_load(&"s0".into(), 0.2, placement.now);
+    placement.record_link_load(&"s0".into(), load, placement.now);
+    placement.rng.unit();
+    let viewing = insert_viewing(&mut placement, "a", Phase::Waiting, 0, vec![]);
+    assert_eq!(placement.draw_rung(&viewing, &"s0".into()), Rung(expected));
 }
 
 #[test]
-fn a_live_viewing_counts_as_a_further_one() {
-    let it = placement(live(), 1);
-    assert_eq!((it.rate(PackageIndex(0), Rung(3)), it.rate(PackageIndex(1), Rung(3))), (2.0, 8.0));
+fn a_live_viewing_counts_as_one_more_viewer_of_a_stream() {
+    let placement = placement_with(live_config(), 1);
+    let (live, recorded) = (PackageIndex(0), PackageIndex(1));
+    assert_eq!((placement.rate(live, Rung(3)), placement.rate(recorded, Rung(3))), (2.0, 8.0));
 }
 
-// A step of the dear package frees twice as much for the same worth.
+/// A step of the second package frees twice as much for the same value.
 #[test]
-fn the_step_that_costs_least_worth_for_its_rate_goes_down_first() {
-    let mut terms = PlacementConfig { rung_values: vec![0.2, 0.5, 0.8, 1.0], ..terms() };
-    (terms.packages[0].rate_scale, terms.packages[1].rate_scale) = (1.0, 16.0);
-    let it = placement(terms, 0);
-    assert!(it.goes_down(&asker(1, 2, false), &asker(0, 3, false)).is_gt());
-    assert!(it.goes_down(&asker(1, 2, false), &asker(0, 3, true)).is_lt(), "over its share comes first");
+fn the_step_that_loses_least_value_for_its_rate_goes_first() {
+    let mut config = PlacementConfig { rung_values: vec![0.2, 0.5, 0.8, 1.0], ..config() };
+    (config.packages[0].rate_scale, config.packages[1].rate_scale) = (1.0, 16.0);
+    let placement = placement_with(config, 0);
+    let order = |a: DemandClass, b: DemandClass| placement.step_down_order(&a, &b);
+    assert!(order(class_at(1, 2, false), class_at(0, 3, false)).is_gt());
+    assert!(order(class_at(1, 2, false), class_at(0, 3, true)).is_lt(), "beyond an allowance goes first");
 }
--- a/src/placement/tests/uplinks.rs
+++ b/src/placement/tests/uplinks.rs
@@ -1,119 +1,137 @@
-//! What is learnt of uplinks.
+//! Estimation of the load of uplinks.
 
 use super::*;
 use test_case::test_case;
 
-// A burst left an uplink at 0.88 of what was asked for seconds: the tolerance of a link is too much for it.
-#[test_case(true, 1.1, 52.0; "a reported one is brought down from 1.04")]
-#[test_case(false, 1.1, 52.0; "so is one that short delivery shows")]
-#[test_case(true, 0.8, 46.0; "a reported one is filled further than a link")]
-#[test_case(false, 0.8, 40.0; "one that is not is filled like a link")]
-fn uplinks_come_down_sooner(reported: bool, fill: f64, expected: f64) {
-    let mut it = placement(PlacementConfig { uplinks_reported: reported, ..terms() }, 1);
-    it.terms.link_unit_kb = 1e6;
-    playing(&mut it, "a", "s0", 0);
-    let seen = Some(Seen { asked: 1.0, own: (50.0, 1.0), at: it.now });
-    let uplink = it.uplinks.get_mut(&Rack(0)).unwrap();
-    (uplink.seen, uplink.own) = (seen, (50.0, 1.0));
-    server(&mut it, "s0").own = (50.0, 1.0);
-    assert!((it.capacity(&it.servers[&"s0".into()], fill) - expected).abs() < 1e-9);
+fn unreported(uplink_kb: f64) -> PlacementConfig {
+    PlacementConfig { uplinks_reported: false, uplink_kb, ..config() }
 }
 
-/// Guards against: a note of an uplink costs a look at each server of its rack, whether asked for anything or not.
+/// With the tolerance of a link, a burst leaves an uplink at 0.88 of the demand for seconds.
+#[test_case(true, 1.1, 52.0; "a reported uplink is relieved from 1.04 on")]
+#[test_case(false, 1.1, 52.0; "so is one known by short delivery")]
+#[test_case(true, 0.8, 46.0; "a reported uplink is filled further than a link")]
+#[test_case(false, 0.8, 40.0; "an unreported one is filled like a link")]
+fn uplinks_are_relieved_sooner_than_links(uplinks_reported: bool, load: f64, expected: f64) {
+    let mut placement = placement_with(PlacementConfig { uplinks_reported, ..config() }, 1);
+    placement.config.link_unit_kb = 1e6;
+    insert_playing(&mut placement, "a", "s0", 0);
+    let demand = Demand { kb: 50.0, units: 1.0 };
+    let sample = Some(LoadSample { load: 1.0, demand, at: placement.now });
+    let uplink = placement.uplinks.get_mut(&Rack(0)).unwrap();
+    (uplink.sample, uplink.demand) = (sample, demand);
+    server_mut(&mut placement, "s0").demand = demand;
+    let capacity = placement.capacity_kb(&placement.servers[&"s0".into()], load);
+    assert!((capacity - expected).abs() < 1e-9);
+}
+
+/// Otherwise a note about an uplink costs a look at every server of its rack, including those without demand.
 #[test]
-fn servers_without_viewings_add_nothing_to_what_is_asked_of_an_uplink() {
-    let mut it = placement(terms(), 40);
+fn only_servers_with_viewings_are_summed_for_an_uplink() {
+    let mut placement = placement_with(config(), 40);
     let mut most = 0;
     for step in 0..200_usize {
-        it.now = it.now + Ms(70.0);
+        placement.now = placement.now + Ms(70.0);
         let (name, server) = (format!("v{}", step % 7), format!("s{}", step % 40));
-        it.amend(&ViewingId::from(name.as_str()), |viewing| {
+        placement.update_viewing(&ViewingId::from(name.as_str()), |viewing| {
             viewing.phase = Phase::Over;
             viewing.tune_ins.iter_mut().for_each(|tune_in| tune_in.outcome = Some(Outcome::Served));
         });
         if step % 11 < 7 {
-            playing(&mut it, &name, &server, step % 4);
+            insert_playing(&mut placement, &name, &server, step % 4);
         }
-        it.note_uplink(&server.as_str().into(), 0.5, it.now);
-        let uplink = &it.uplinks[&it.rack(&it.servers[&server.as_str().into()])];
-        for at in [it.now, it.now - Ms(200.0)] {
+        placement.record_uplink_load(&server.as_str().into(), 0.5, placement.now);
+        let uplink = &placement.uplinks[&placement.rack(&placement.servers[&server.as_str().into()])];
+        for at in [placement.now, placement.now - Ms(200.0)] {
             let sum = |ids: &BTreeSet<ServerId>| {
-                ids.iter().map(|id| it.servers[id].own_at(at)).fold((0.0, 0.0), added)
+                let demands = ids.iter().map(|id| placement.servers[id].demand_at(at));
+                demands.fold(Demand::ZERO, Demand::plus)
             };
-            assert_eq!(sum(&uplink.servers), sum(&uplink.asked));
+            assert_eq!(sum(&uplink.servers), sum(&uplink.with_demand));
         }
-        most = most.max(uplink.asked.len());
+        most = most.max(uplink.with_demand.len());
     }
-    assert!((2..20).contains(&most), "{most} of 20 servers looked at");
+    assert!((2..20).contains(&most), "{most} of 20 servers summed");
 }
 
-// Counts off by a fifth made the managers of an unreported uplink step down again and again.
+/// Estimates that are off by a fifth would make the managers of an unreported uplink step down again and
+/// again.
 #[test]
-fn a_count_takes_nothing_from_viewings_that_play() {
-    let mut it = placement(PlacementConfig { uplinks_reported: false, uplink_kb: 10.0, ..terms() }, 1);
-    playing(&mut it, "a", "s0", 3);
-    assert!(it.uplink_seen(&it.uplinks[&Rack(0)]).asked > 1.5);
-    assert!(
-        it.capacity(&it.servers[&"s0".into()], DOWN_FILL) > 8.0
-            && it.capacity(&it.servers[&"s0".into()], UP_FILL) < 8.0
-    );
+fn an_estimated_uplink_load_makes_no_playing_viewing_step_down() {
+    let mut placement = placement_with(unreported(10.0), 1);
+    insert_playing(&mut placement, "a", "s0", 3);
+    assert!(placement.uplink_sample(&placement.uplinks[&Rack(0)]).load > 1.5);
+    let capacity = |load| placement.capacity_kb(&placement.servers[&"s0".into()], load);
+    assert!(capacity(STEP_DOWN_LOAD) > 8.0 && capacity(STEP_UP_LOAD) < 8.0);
 }
 
-#[test_case(0.0, 0.5; "a rack's links, over the uplink")]
-#[test_case(0.4, 0.7; "times what short delivery showed to be missing")]
-fn an_unreported_uplink_is_counted(missing: f64, expected: f64) {
-    let mut it = placement(PlacementConfig { uplinks_reported: false, uplink_kb: 200.0, ..terms() }, 3);
+#[test_case(0.0, 0.5; "load of the rack's links over the uplink's capacity")]
+#[test_case(0.4, 0.7; "increased by the shortfall")]
+fn an_unreported_uplink_is_estimated_from_its_links(shortfall: f64, expected: f64) {
+    let mut placement = placement_with(unreported(200.0), 3);
     for id in ["s0", "s2"] {
-        it.note_link(&id.into(), 0.5, it.now);
+        placement.record_link_load(&id.into(), 0.5, placement.now);
     }
-    it.uplinks.get_mut(&Rack(0)).unwrap().missing = (missing, it.now);
-    assert!((it.uplink_seen(&it.uplinks[&Rack(0)]).asked - expected).abs() < 1e-9);
+    let shortfall = Shortfall { share: shortfall, at: placement.now };
+    placement.uplinks.get_mut(&Rack(0)).unwrap().shortfall = shortfall;
+    assert!((placement.uplink_sample(&placement.uplinks[&Rack(0)]).load - expected).abs() < 1e-9);
 }
 
-// With one viewing in a rack, "most servers held there" was one: each short link was laid to the uplink.
-#[test_case(0.5, 99_000.0, Some(1.25), None; "an older note on the link clears nothing")]
+/// A decision by the number of short servers in the rack fails where only one of its servers holds a viewing:
+/// it attributes every short link to the uplink.
+#[test_case(0.5, 99_000.0, Some(1.25), None; "an older note on the link proves nothing")]
 #[test_case(1.3, 100_000.0, Some(1.25), None; "a full link explains it")]
-#[test_case(0.5, 100_000.0, None, Some(1.25); "a free link leaves it to the uplink")]
-fn short_delivery_is_laid_to_link_or_uplink(note: f64, at: f64, link: Option<f64>, uplink: Option<f64>) {
-    let mut it = placement(terms(), 1);
-    server(&mut it, "s0").link_note = (note, Ms(at));
-    it.note_delivered(&"s0".into(), 0.8, Ms(99_500.0));
-    assert_eq!(it.servers[&"s0".into()].seen.map(|it| it.asked), link);
-    assert_eq!(it.uplinks[&Rack(0)].seen.map(|it| it.asked), uplink);
+#[test_case(0.5, 100_000.0, None, Some(1.25); "a free link leaves the uplink")]
+fn short_delivery_is_attributed_to_link_or_uplink(
+    note: f64,
+    at: f64,
+    link_load: Option<f64>,
+    uplink_load: Option<f64>,
+) {
+    let mut placement = placement_with(config(), 1);
+    server_mut(&mut placement, "s0").link_note = LinkNote { load: note, at: Ms(at) };
+    placement.record_delivered(&"s0".into(), 0.8, Ms(99_500.0));
+    assert_eq!(placement.servers[&"s0".into()].sample.map(|sample| sample.load), link_load);
+    assert_eq!(placement.uplinks[&Rack(0)].sample.map(|sample| sample.load), uplink_load);
 }
 
-// One link lost most of its rate in a rack a little short: all of it was laid to the uplink and the rack was
-// shut.
-#[test_case(0.3, Some(1.0 / 0.3), None; "far under the best of the rack is the link")]
-#[test_case(0.88, None, Some(1.0 / 0.9); "an uplink gives no less than the best gets")]
-fn a_sudden_loss_at_one_link(share: f64, link: Option<f64>, uplink: Option<f64>) {
-    let mut it = placement(terms(), 3);
-    server(&mut it, "s2").delivered = (0.9, Ms(99_500.0));
-    server(&mut it, "s0").link_note = (0.5, it.now);
-    it.note_delivered(&"s0".into(), share, Ms(99_500.0));
-    assert_eq!(it.servers[&"s0".into()].seen.map(|it| it.asked), link);
-    assert_eq!(it.uplinks[&Rack(0)].seen.map(|it| it.asked), uplink);
+/// Otherwise, when one link loses most of its rate in a slightly short rack, all of the loss is attributed to
+/// the uplink and the rack gets no viewings.
+#[test_case(0.3, Some(1.0 / 0.3), None; "far below the best of the rack: the link")]
+#[test_case(0.88, None, Some(1.0 / 0.9); "near the best of the rack: the uplink")]
+fn a_loss_at_a_single_link_is_not_attributed_to_the_uplink(
+    share: f64,
+    link_load: Option<f64>,
+    uplink_load: Option<f64>,
+) {
+    let mut placement = placement_with(config(), 3);
+    let now = placement.now;
+    server_mut(&mut placement, "s2").delivered = Delivered { share: 0.9, at: Ms(99_500.0) };
+    server_mut(&mut placement, "s0").link_note = LinkNote { load: 0.5, at: now };
+    placement.record_delivered(&"s0".into(), share, Ms(99_500.0));
+    assert_eq!(placement.servers[&"s0".into()].sample.map(|sample| sample.load), link_load);
+    assert_eq!(placement.uplinks[&Rack(0)].sample.map(|sample| sample.load), uplink_load);
 }
 
-// Links asked for four times what they gave made their rack look full.
+/// Otherwise links with a demand of four times their capacity make their rack look full.
 #[test]
-fn a_link_passes_no_more_than_it_has() {
-    let mut it = placement(PlacementConfig { uplinks_reported: false, uplink_kb: 200.0, ..terms() }, 3);
-    it.note_link(&"s0".into(), 4.0, it.now);
-    it.note_link(&"s2".into(), 0.2, it.now);
-    assert!((it.counted(&it.uplinks[&Rack(0)]) - 0.6).abs() < 1e-9);
+fn a_link_passes_no_more_than_its_capacity() {
+    let mut placement = placement_with(unreported(200.0), 3);
+    placement.record_link_load(&"s0".into(), 4.0, placement.now);
+    placement.record_link_load(&"s2".into(), 0.2, placement.now);
+    assert!((placement.links_load(&placement.uplinks[&Rack(0)]) - 0.6).abs() < 1e-9);
 }
 
-// A rack's links are summed once a moment; what the manager adds meanwhile counts at once.
+/// The links of a rack are summed once for each time; demand that this manager adds meanwhile counts at once.
 #[test]
-fn a_rack_is_summed_once_a_moment() {
-    let mut it = placement(PlacementConfig { uplinks_reported: false, ..terms() }, 4);
-    let (rack, before) = (Rack(0), it.counted(&it.uplinks[&Rack(0)]));
-    playing(&mut it, "one", "s0", 3);
-    let after = it.counted(&it.uplinks[&rack]);
+fn the_links_of_a_rack_are_summed_once_for_each_time() {
+    let mut placement = placement_with(unreported(1000.0), 4);
+    let (rack, before) = (Rack(0), placement.links_load(&placement.uplinks[&Rack(0)]));
+    insert_playing(&mut placement, "one", "s0", 3);
+    let after = placement.links_load(&placement.uplinks[&rack]);
     assert!((after - before - 8.0 / 1000.0).abs() < 1e-9, "{before} then {after}");
-    server(&mut it, "s2").entry.availability = Availability::Gone;
-    assert_eq!(after, it.counted(&it.uplinks[&rack]));
-    it.now = it.now + Ms(1.0);
-    assert!(it.counted(&it.uplinks[&rack]) < after);
+    server_mut(&mut placement, "s2").entry.availability = Availability::Gone;
+    assert_eq!(after, placement.links_load(&placement.uplinks[&rack]));
+    placement.now = placement.now + Ms(1.0);
+    assert!(placement.links_load(&placement.uplinks[&rack]) < after);
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,9 +1,10 @@
-//! Shapes of what the module knows and of what it is told.
+//! Types of the inputs of [`Placement`](crate::placement::Placement) and of what it knows of servers and
+//! viewings.
 
+mod inputs;
 mod server;
-mod told;
 mod viewing;
 
-pub use server::{Belief, Seen, Server, Uplink};
-pub use told::{Availability, ListMode, Load, Outcome, ServerEntry, Topic, ViewingRequest};
+pub use inputs::{Availability, ListMode, Load, Outcome, ServerEntry, Topic, ViewingRequest};
+pub use server::{Belief, Delivered, LinkNote, LinksSum, LoadSample, Server, Shortfall, Uplink};
 pub use viewing::{Phase, TuneIn, Viewing};
--- a/src/state/server.rs
+++ b/src/state/server.rs
@@ -1,129 +1,170 @@
-//! What the module knows of servers and of the uplinks of their racks.
+//! What is known of servers and of the uplinks of their racks.
 
-use super::told::{Availability, ServerEntry};
-use crate::census::{Census, Own, Past};
+use super::inputs::{Availability, ServerEntry};
+use crate::demand::{Demand, DemandHistory, ViewingsByClass};
 use crate::ids::ServerId;
 use crate::time::Ms;
 use std::collections::BTreeSet;
 
-/// What is asked of a link or an uplink over what it gives, with the manager's own part at that time.
+/// An observed load of a link or an uplink, with this manager's own demand at that time.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen {
-    pub asked: f64,
-    pub own: Own,
+pub struct LoadSample {
+    /// Demand over capacity; above 1 when delivery is short.
+    pub load: f64,
+    pub demand: Demand,
     pub at: Ms,
 }
 
+/// Estimated shortfall of an uplink.
+#[derive(Clone, Copy, Debug)]
+pub struct Shortfall {
+    /// Missing capacity as a fraction of the load that its links place on it.
+    pub share: f64,
+    pub at: Ms,
+}
+
+/// Cached sum of the load that the links of a rack place on its uplink.
+#[derive(Clone, Copy, Debug)]
+pub struct LinksSum {
+    pub at: Ms,
+    pub kb: f64,
+    /// This manager's own demand at that time, in kB per second.
+    pub own_kb: f64,
+}
+
 /// The uplink of a rack.
 #[derive(Clone, Debug)]
 pub struct Uplink {
+    /// The servers of the rack.
     pub servers: BTreeSet<ServerId>,
-    /// Those of them where this manager has viewings, or lately had: the others add nothing to its part.
-    pub asked: BTreeSet<ServerId>,
-    pub own: Own,
-    pub seen: Option<Seen>,
-    /// Where it is not reported: what short delivery showed to be missing from what its links ask of it, as a
-    /// part of that, and when.
-    pub missing: (f64, Ms),
-    /// What its links asked of it when that was last summed, with the manager's own part at that moment.
-    pub counted: std::cell::Cell<(Ms, f64, f64)>,
+    /// The servers where this manager has viewings or recently had some; only they contribute to its demand.
+    pub with_demand: BTreeSet<ServerId>,
+    /// This manager's demand.
+    pub demand: Demand,
+    pub sample: Option<LoadSample>,
+    /// Used where the uplink's load is not reported; derived from short delivery.
+    pub shortfall: Shortfall,
+    pub links_sum: std::cell::Cell<LinksSum>,
+}
+
+/// A note on the load of a link.
+#[derive(Clone, Copy, Debug)]
+pub struct LinkNote {
+    pub load: f64,
+    pub at: Ms,
+}
+
+/// A note on delivery.
+#[derive(Clone, Copy, Debug)]
+pub struct Delivered {
+    /// Share of the demanded rate that the server's viewings received.
+    pub share: f64,
+    pub at: Ms,
 }
 
+/// A streaming server.
 #[derive(Clone, Debug)]
 pub struct Server {
     pub entry: ServerEntry,
-    pub seen: Option<Seen>,
-    /// The last note on the link itself, and since when delivery has been short.
-    pub link_note: (f64, Ms),
+    /// Latest known load of its link, from whichever source.
+    pub sample: Option<LoadSample>,
+    /// The last note about the link itself.
+    pub link_note: LinkNote,
+    /// Since when delivery has been short.
     pub short_since: Option<Ms>,
-    /// Share last delivered to viewings there, and when.
-    pub delivered: (f64, Ms),
-    /// Viewings that the manager has there, set-ups included.
-    pub census: Census,
-    /// What they ask by the ladder, and what they asked.
-    pub own: Own,
-    pub past: Past,
-    /// When the manager sent set-ups there, newest last.
-    pub sent: Vec<Ms>,
+    pub delivered: Delivered,
+    /// This manager's viewings there, set-ups included.
+    pub viewings: ViewingsByClass,
+    /// Their present demand, by the rates of the ladder.
+    pub demand: Demand,
+    pub demand_history: DemandHistory,
+    /// Times of the set-ups that this manager recently sent there, newest last.
+    pub set_ups_sent: Vec<Ms>,
     pub cold_until: Ms,
-    /// Failures in a row, and until when they keep the server out of the pick.
+    /// Consecutive failures.
     pub failures: u32,
-    pub shunned_until: Ms,
-    /// When its rungs are weighed again, and when one last changed or was too high.
-    pub look_at: Ms,
+    /// Until when no viewing is placed there, after failures or a refusal.
+    pub avoid_until: Ms,
+    /// When the rungs of its viewings are reviewed next.
+    pub next_review: Ms,
+    /// When the rate bound was last found exceeded.
     pub unsettled_at: Ms,
-    /// Drawn for each note, from just above 0 to 1: the part of a step that must be this manager's.
-    pub lot: f64,
-    pub lot_at: Ms,
-    /// When it was last probed, and whether that probe is out.
+    /// Uniform in (0, 1], drawn for each note: the fraction of a step that must be due to this manager for it
+    /// to make the step.
+    pub step_threshold: f64,
+    pub threshold_drawn_at: Ms,
+    /// When it was last probed.
     pub probed_at: Ms,
-    pub probe_out: bool,
-    /// When it is probed next for the viewings that play there.
+    /// Whether that probe is still unanswered.
+    pub probe_pending: bool,
+    /// When it is probed next on behalf of the viewings that play there.
     pub next_probe: Ms,
-    /// Since when the list has it gone.
-    pub off_since: Option<Ms>,
+    /// Since when it has been missing from the list.
+    pub gone_since: Option<Ms>,
 }
 
-/// What the module believes of a server, to be held against what passes on the sockets.
+/// Diagnostic view of what is known of a server, to be compared with the actual traffic.
 #[derive(Clone, Debug)]
 pub struct Belief {
     pub server: ServerId,
     pub availability: Availability,
-    /// Viewings that it has there, set-ups included.
+    /// Number of this manager's viewings there, set-ups included.
     pub held: f64,
-    /// Asked of its link over what that gives, and how old that is.
+    /// Load of its link and the age of that value.
     pub asked: Option<(f64, Ms)>,
     pub failures: u32,
+    /// Whether no viewing is placed there at present because it failed or refused.
     pub shunned: bool,
     pub cold: bool,
 }
 
 impl Default for Uplink {
     fn default() -> Uplink {
-        let counted = std::cell::Cell::new((Ms::DISTANT_PAST, 0.0, 0.0));
         Uplink {
             servers: BTreeSet::new(),
-            asked: BTreeSet::new(),
-            own: (0.0, 0.0),
-            seen: None,
-            missing: (0.0, Ms::DISTANT_PAST),
-            counted,
+            with_demand: BTreeSet::new(),
+            demand: Demand::ZERO,
+            sample: None,
+            shortfall: Shortfall { share: 0.0, at: Ms::DISTANT_PAST },
+            links_sum: std::cell::Cell::new(LinksSum { at: Ms::DISTANT_PAST, kb: 0.0, own_kb: 0.0 }),
         }
     }
 }
 
 impl Server {
+    /// A server without viewings of which only the list entry is known.
     pub fn new(entry: ServerEntry, cold_until: Ms) -> Server {
         Server {
             entry,
-            seen: None,
-            link_note: (0.0, Ms::DISTANT_PAST),
+            sample: None,
+            link_note: LinkNote { load: 0.0, at: Ms::DISTANT_PAST },
             short_since: None,
-            delivered: (1.0, Ms::DISTANT_PAST),
-            census: Census::default(),
-            own: (0.0, 0.0),
-            past: Past::default(),
-            sent: Vec::new(),
+            delivered: Delivered { share: 1.0, at: Ms::DISTANT_PAST },
+            viewings: ViewingsByClass::default(),
+            demand: Demand::ZERO,
+            demand_history: DemandHistory::default(),
+            set_ups_sent: Vec::new(),
             cold_until,
             failures: 0,
-            shunned_until: Ms::DISTANT_PAST,
-            look_at: Ms::DISTANT_PAST,
+            avoid_until: Ms::DISTANT_PAST,
+            next_review: Ms::DISTANT_PAST,
             unsettled_at: Ms::DISTANT_PAST,
-            lot: 1.0,
-            lot_at: Ms::DISTANT_PAST,
+            step_threshold: 1.0,
+            threshold_drawn_at: Ms::DISTANT_PAST,
             probed_at: Ms::DISTANT_PAST,
-            probe_out: false,
+            probe_pending: false,
             next_probe: Ms::DISTANT_PAST,
-            off_since: None,
+            gone_since: None,
         }
     }
 
-    /// This manager asks nothing of it, and has not since that time.
-    pub fn unasked_since(&self, at: Ms) -> bool {
-        self.census.is_empty() && self.own == (0.0, 0.0) && self.past.unchanged_since(at)
+    /// Whether this manager has had no demand there since that time.
+    pub fn without_demand_since(&self, time: Ms) -> bool {
+        self.viewings.is_empty() && self.demand == Demand::ZERO && self.demand_history.unchanged_since(time)
     }
 
-    pub fn own_at(&self, at: Ms) -> Own {
-        self.past.at(at, self.own)
+    /// This manager's demand there at that time.
+    pub fn demand_at(&self, time: Ms) -> Demand {
+        self.demand_history.at(time, self.demand)
     }
 }
--- a/src/state/viewing.rs
+++ b/src/state/viewing.rs
@@ -1,74 +1,89 @@
-//! What the module knows of a viewing.
+//! What is known of a viewing.
 
+use super::inputs::{Outcome, ViewingRequest};
 use super::server::Server;
-use super::told::{Outcome, ViewingRequest};
 use crate::ids::{Rung, ServerId};
 use crate::time::Ms;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Taken, no tune-in out.
+    /// Accepted, with no tune-in in progress.
     Waiting,
     TuningIn,
     Playing,
-    /// The manager owes nothing more; a tune-in may still be out.
+    /// The request has its final answer or the viewing ended; a tune-in may still be in progress.
     Over,
 }
 
 #[derive(Clone, Debug)]
 pub struct TuneIn {
     pub server: ServerId,
-    pub sent: Ms,
+    pub sent_at: Ms,
+    /// `None` while it is in progress or the viewing plays.
     pub outcome: Option<Outcome>,
 }
 
+/// A viewing from its request to its end.
 #[derive(Clone, Debug)]
 pub struct Viewing {
-    pub wish: ViewingRequest,
-    pub taken: Ms,
+    pub request: ViewingRequest,
+    pub accepted_at: Ms,
     pub phase: Phase,
     pub rung: Rung,
     /// When it began to play.
-    pub started: Ms,
+    pub started_at: Ms,
     pub tune_ins: Vec<TuneIn>,
+    /// Whether it arrived in excess of its tenant's allowance.
     pub over_share: bool,
-    /// When a waiting viewing is looked at again.
-    pub look_at: Ms,
-    /// The two holders drawn for it whose reports it waits for.
-    pub picks: Vec<ServerId>,
+    /// When the rules consider it next while it waits.
+    pub next_review: Ms,
+    /// The two holders drawn for it, while it waits for their load reports.
+    pub candidates: Vec<ServerId>,
 }
 
 impl Viewing {
-    /// Nothing is owed yet and nothing is out.
-    pub fn taken(wish: ViewingRequest, taken: Ms, rung: Rung, over_share: bool) -> Viewing {
-        let (phase, tune_ins, started) = (Phase::Over, Vec::new(), Ms::DISTANT_PAST);
-        Viewing { wish, taken, phase, rung, started, tune_ins, over_share, look_at: taken, picks: Vec::new() }
+    /// A viewing without tune-ins, in the phase [`Phase::Over`] until the caller sets another.
+    pub fn accepted(request: ViewingRequest, accepted_at: Ms, rung: Rung, over_share: bool) -> Viewing {
+        Viewing {
+            request,
+            accepted_at,
+            phase: Phase::Over,
+            rung,
+            started_at: Ms::DISTANT_PAST,
+            tune_ins: Vec::new(),
+            over_share,
+            next_review: accepted_at,
+            candidates: Vec::new(),
+        }
     }
 
-    pub fn out(&self) -> bool {
-        self.tune_ins.last().is_some_and(|it| it.outcome.is_none())
+    /// Whether a tune-in is in progress or the viewing plays.
+    pub fn has_open_tune_in(&self) -> bool {
+        self.tune_ins.last().is_some_and(|tune_in| tune_in.outcome.is_none())
     }
 
-    pub fn never_ran(&self) -> bool {
+    /// Whether all tune-ins provably had no effect.
+    pub fn never_took_effect(&self) -> bool {
         !self.tune_ins.iter().any(TuneIn::may_have_run)
     }
 
-    /// An attempt there was given up without an answer. It may run on, and its end would be taken for that of
-    /// the next one there.
-    pub fn may_run_on_at(&self, server: &Server) -> bool {
-        let given_up =
-            |it: &TuneIn| it.outcome == Some(Outcome::NoAnswer) && it.server == server.entry.server;
-        self.tune_ins.iter().any(given_up)
+    /// Whether a tune-in at the server was abandoned without an answer. It may still run there, and its end
+    /// could be mistaken for the end of another tune-in at that server.
+    pub fn may_still_run_at(&self, server: &Server) -> bool {
+        let abandoned = |tune_in: &TuneIn| {
+            tune_in.outcome == Some(Outcome::NoAnswer) && tune_in.server == server.entry.server
+        };
+        self.tune_ins.iter().any(abandoned)
     }
 
-    /// Where its tune-in is out or it plays.
-    pub fn place(&self) -> Option<&ServerId> {
-        self.tune_ins.last().filter(|it| it.outcome.is_none()).map(|it| &it.server)
+    /// The server at which its tune-in is in progress or it plays.
+    pub fn current_server(&self) -> Option<&ServerId> {
+        self.tune_ins.last().filter(|tune_in| tune_in.outcome.is_none()).map(|tune_in| &tune_in.server)
     }
 }
 
 impl TuneIn {
-    /// False where its outcome proves that it never ran.
+    /// False if its outcome proves that it had no effect.
     pub fn may_have_run(&self) -> bool {
         !matches!(self.outcome, Some(Outcome::TurnedAway | Outcome::NoConnection | Outcome::NotSent))
     }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,8 +1,9 @@
-//! Times and spans in milliseconds with fractions, and sums that decay with time.
+//! Times and durations in milliseconds, and exponentially decaying sums.
 
 use std::cmp::Ordering;
 use std::ops::{Add, Div, Mul, Sub};
 
+/// A duration, or a point in time since an epoch that the caller chooses, in milliseconds. Totally ordered.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Ms(pub f64);
 
@@ -27,6 +28,7 @@
 }
 
 impl Ms {
+    /// Earlier than any other time.
     pub const DISTANT_PAST: Ms = Ms(f64::NEG_INFINITY);
 }
 
@@ -46,8 +48,8 @@
 
 impl Mul<f64> for Ms {
     type Output = Ms;
-    fn mul(self, times: f64) -> Ms {
-        Ms(self.0 * times)
+    fn mul(self, factor: f64) -> Ms {
+        Ms(self.0 * factor)
     }
 }
 
@@ -58,7 +60,7 @@
     }
 }
 
-/// A sum whose parts fade by a factor of e in each `fade`; brought up to date when it is read.
+/// A sum whose terms decay by a factor of e within each time constant. The decay is applied on access.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingSum {
     sum: f64,
@@ -66,15 +68,17 @@
 }
 
 impl DecayingSum {
-    pub fn read(&self, now: Ms, fade: Ms) -> f64 {
+    /// The sum at `now`.
+    pub fn read(&self, now: Ms, time_constant: Ms) -> f64 {
         if self.sum == 0.0 {
             return 0.0;
         }
-        self.sum * (-((now - self.at) / fade).max(0.0)).exp()
+        self.sum * (-((now - self.at) / time_constant).max(0.0)).exp()
     }
 
-    pub fn add(&mut self, now: Ms, fade: Ms, part: f64) {
-        self.sum = self.read(now, fade) + part;
+    /// Adds a term.
+    pub fn add(&mut self, now: Ms, time_constant: Ms, term: f64) {
+        self.sum = self.read(now, time_constant) + term;
         self.at = now;
     }
 }
--- a/tests/history/inputs.rs
+++ b/tests/history/inputs.rs
@@ -1,4 +1,4 @@
-//! Terms of several kinds, and chance inputs for them.
+//! Settings of several kinds, and random inputs.
 
 use ottersail::config::{
     ColdStart, DedupScope, Package, PlacementConfig, RequestSemantics, ResendBudget, Tenant,
@@ -7,28 +7,30 @@
 use ottersail::state::{Availability, Load, Outcome, ServerEntry, ViewingRequest};
 use ottersail::time::Ms;
 
-/// xorshift (Marsaglia 2003, "Xorshift RNGs"), apart from the chance that the decisions draw.
-pub struct Dice(pub u64);
+/// xorshift (Marsaglia 2003, "Xorshift RNGs"); independent of the generator of the decisions.
+pub struct InputRng(pub u64);
 
-impl Dice {
+impl InputRng {
+    /// Uniform in `0..limit`.
     pub fn below(&mut self, limit: usize) -> usize {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
         (self.0 >> 33) as usize % limit
     }
-    pub fn part(&mut self) -> f64 {
+    /// Uniform in [0, 1).
+    pub fn unit(&mut self) -> f64 {
         self.below(1 << 20) as f64 / f64::from(1 << 20)
     }
 }
 
-pub fn package(value: f64, repeat: RequestSemantics) -> Package {
+pub fn package(value: f64, semantics: RequestSemantics) -> Package {
     let (join_target, floor, top) = (Ms(1000.0), Rung(0), Rung(3));
     Package {
         name: value.to_string(),
         value,
         join_target,
-        semantics: repeat,
+        semantics,
         rate_scale: 1.0,
         floor,
         top,
@@ -37,14 +39,15 @@
     }
 }
 
-pub fn terms() -> PlacementConfig {
+/// Uplinks whose load is reported in notes.
+pub fn reported_uplinks() -> PlacementConfig {
     let mut packages = vec![
         package(1.0, RequestSemantics::Idempotent),
         package(3.0, RequestSemantics::Deduplicated { group: DedupScope::SameZone, window: Ms(900.0) }),
         package(2.0, RequestSemantics::AtMostOnce),
     ];
     (packages[1].floor, packages[1].rate_scale, packages[2].seats) = (Rung(1), 1.5, 9);
-    let (lasts, fall_window) = (Ms(10_000.0), Ms(1000.0));
+    let (warm_up, fall_window) = (Ms(10_000.0), Ms(1000.0));
     PlacementConfig {
         manager: ManagerIndex(1),
         manager_count: 3.0,
@@ -70,7 +73,7 @@
         must_subscribe: true,
         cross_zone_price: 0.05,
         cold: ColdStart {
-            warm_up: lasts,
+            warm_up,
             start_capacity: 0.5,
             fall_multiple: 4.0,
             fall_window,
@@ -81,67 +84,77 @@
     }
 }
 
-pub fn unreported() -> PlacementConfig {
+/// Uplinks whose load is not reported.
+pub fn unreported_uplinks() -> PlacementConfig {
     PlacementConfig {
         uplinks_reported: false,
         uplink_kb: 300.0,
         rung_values: vec![0.2, 0.5, 0.8, 1.0],
-        ..terms()
+        ..reported_uplinks()
     }
 }
 
-pub fn probed() -> PlacementConfig {
+/// Load that is reported only to probes.
+pub fn reports_on_probe() -> PlacementConfig {
     PlacementConfig {
         reports_on_probe: true,
         weights_listed: false,
         report_interval: Ms(0.0),
-        ..unreported()
+        ..unreported_uplinks()
     }
 }
 
-pub fn live() -> PlacementConfig {
-    let mut it = PlacementConfig { live_join_share: 0.25, budget: None, uplink_kb: 0.0, ..terms() };
-    it.packages[0].live = true;
-    it
+/// Live titles, of which viewers share a stream.
+pub fn live_titles() -> PlacementConfig {
+    let mut config =
+        PlacementConfig { live_join_share: 0.25, budget: None, uplink_kb: 0.0, ..reported_uplinks() };
+    config.packages[0].live = true;
+    config
 }
 
-/// A third of the list changes often, and servers that left are forgotten.
-pub fn many() -> PlacementConfig {
-    let mut it =
-        PlacementConfig { manager_count: 40.0, max_stay_away: None, must_subscribe: false, ..unreported() };
-    it.cold.warm_up = Ms(2000.0);
-    it
+/// Forty managers. The warm-up is short enough that servers off the list are forgotten.
+pub fn many_managers() -> PlacementConfig {
+    let mut config = PlacementConfig {
+        manager_count: 40.0,
+        max_stay_away: None,
+        must_subscribe: false,
+        ..unreported_uplinks()
+    };
+    config.cold.warm_up = Ms(2000.0);
+    config
 }
 
-pub fn entry(dice: &mut Dice, no: usize, now: Ms) -> ServerEntry {
-    let restarted = dice.below(4) == 0;
+/// List entry of a server, now and then restarted, moved to another cell, or not up.
+pub fn entry(rng: &mut InputRng, number: usize, now: Ms) -> ServerEntry {
+    let restarted = rng.below(4) == 0;
     ServerEntry {
-        kind: if no.is_multiple_of(4) { "large" } else { "k" }.into(),
-        cell: Cell((no + usize::from(dice.below(30) == 0)) as u64),
+        kind: if number.is_multiple_of(4) { "large" } else { "k" }.into(),
+        cell: Cell((number + usize::from(rng.below(30) == 0)) as u64),
         availability: [Availability::Up, Availability::Leaving, Availability::Gone]
-            [dice.below(12).saturating_sub(9)],
-        server: format!("s{no}").as_str().into(),
+            [rng.below(12).saturating_sub(9)],
+        server: format!("s{number}").as_str().into(),
         started: restarted.then_some(now),
-        weight: 1.0 + (no % 3) as f64 / 2.0,
-        zone: format!("z{}", no % 2).as_str().into(),
+        weight: 1.0 + (number % 3) as f64 / 2.0,
+        zone: format!("z{}", number % 2).as_str().into(),
     }
 }
 
-pub fn wish(dice: &mut Dice, no: usize, now: Ms) -> ViewingRequest {
+pub fn request(rng: &mut InputRng, number: usize, now: Ms) -> ViewingRequest {
     ViewingRequest {
-        viewing: format!("v{no}").as_str().into(),
-        package: PackageIndex(dice.below(3)),
-        tenant: (dice.below(3) == 0).then_some(TenantIndex(0)),
-        title: format!("film{}", dice.below(5)).as_str().into(),
-        first_cell: dice.below(6) as u64,
-        cell_count: 1 + dice.below(4) as u64,
-        max_rung: Rung(dice.below(5)),
-        deadline: now + Ms(500.0 + 4000.0 * dice.part()),
-        expected_duration: (dice.below(2) == 0).then_some(Ms(30_000.0 * dice.part())),
+        viewing: format!("v{number}").as_str().into(),
+        package: PackageIndex(rng.below(3)),
+        tenant: (rng.below(3) == 0).then_some(TenantIndex(0)),
+        title: format!("film{}", rng.below(5)).as_str().into(),
+        first_cell: rng.below(6) as u64,
+        cell_count: 1 + rng.below(4) as u64,
+        max_rung: Rung(rng.below(5)),
+        deadline: now + Ms(500.0 + 4000.0 * rng.unit()),
+        expected_duration: (rng.below(2) == 0).then_some(Ms(30_000.0 * rng.unit())),
     }
 }
 
-pub fn outcome(dice: &mut Dice) -> Outcome {
+/// Any failure.
+pub fn outcome(rng: &mut InputRng) -> Outcome {
     let failed = [
         Outcome::ServerError,
         Outcome::TurnedAway,
@@ -151,10 +164,10 @@
         Outcome::CalledOff,
         Outcome::NotSent,
     ];
-    failed[dice.below(failed.len())]
+    failed[rng.below(failed.len())]
 }
 
-pub fn load(dice: &mut Dice) -> Load {
-    let mut some = |most: f64| (dice.below(3) > 0).then(|| dice.part() * most);
-    Load { streams: None, link: some(1.0), link_uncapped: some(1.5), uplink: some(1.3) }
+pub fn load(rng: &mut InputRng) -> Load {
+    let mut sometimes = |most: f64| (rng.below(3) > 0).then(|| rng.unit() * most);
+    Load { streams: None, link: sometimes(1.0), link_uncapped: sometimes(1.5), uplink: sometimes(1.3) }
 }
