--- a/bench-adapter/src/wire/errors.rs
+++ b/bench-adapter/src/wire/errors.rs
@@ -1,6 +1,6 @@
 //! Errors that end the session. Each message says what is wrong, in which line, and what an operator can try.
 
-use ottersail_platform::errors::LoadError;
+use ottersail_platform::errors::LoadReportError;
 use std::io;
 use thiserror::Error;
 
@@ -24,7 +24,7 @@
     #[error("read '{read}', expected a settings object ({source}); send a complete object on one line")]
     Settings { read: String, source: serde_json::Error },
     #[error(transparent)]
-    Load(#[from] LoadError),
+    Load(#[from] LoadReportError),
     #[error(
         "the line could not be read: {0}; send UTF-8, and keep standard input open until the last FLUSH"
     )]
--- a/bench-adapter/src/wire/errors/tests.rs
+++ b/bench-adapter/src/wire/errors/tests.rs
@@ -17,7 +17,7 @@
     "settings"
 )]
 #[test_case(
-    ErrorKind::from(LoadError { pair: 2, read: "x".into() }),
+    ErrorKind::from(LoadReportError { pair: 2, found: "x".into() }),
     ["read 'x', expected name:value in pair 2", "let its sender write"];
     "load"
 )]
--- a/bench-adapter/src/wire/host.rs
+++ b/bench-adapter/src/wire/host.rs
@@ -8,8 +8,8 @@
 use ottersail::placement::Placement;
 use ottersail::state::{ListMode, ServerEntry, Topic, ViewingRequest};
 use ottersail::time::Ms;
-use ottersail_platform::errors::shown;
-use ottersail_platform::load::load;
+use ottersail_platform::errors::excerpt;
+use ottersail_platform::load_report::parse_load_report;
 use ottersail_platform::terms::read_terms;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
@@ -81,7 +81,7 @@
             let seed = values.number("salt")?;
             let settings = values.remainder("conf")?;
             let settings = serde_json::from_str(settings)
-                .map_err(|source| ErrorKind::Settings { read: shown(settings), source })?;
+                .map_err(|source| ErrorKind::Settings { read: excerpt(settings), source })?;
             self.ever_started.insert(instance.to_string());
             self.placements
                 .insert(instance.to_string(), Placement::new(now, seed, read_terms(&settings), actions));
@@ -220,7 +220,7 @@
                 let ending = outcome(values.text("ending")?)?;
                 values.optional::<i64>("elapsed-ns")?;
                 let last = values.optional::<u8>("last")? == Some(1);
-                let load = load(values.text("load")?)?;
+                let load = parse_load_report(values.text("load")?)?;
                 values.end()?;
                 placement.tune_in_ended(now, &viewing, no, &server, ending, last, load, actions);
             }
@@ -233,7 +233,7 @@
                 let server = values.text("server")?.into();
                 let ending = outcome(values.text("ending")?)?;
                 values.optional::<i64>("elapsed-ns")?;
-                let load = load(values.text("load")?)?;
+                let load = parse_load_report(values.text("load")?)?;
                 values.end()?;
                 placement.probe_ended(now, &server, ending, load, actions);
             }
--- a/bench-adapter/src/wire/values.rs
+++ b/bench-adapter/src/wire/values.rs
@@ -4,14 +4,14 @@
 use ottersail::ids::Cell;
 use ottersail::state::{Availability, Outcome, ServerEntry};
 use ottersail::time::Ms;
-use ottersail_platform::errors::shown;
+use ottersail_platform::errors::excerpt;
 use std::str::FromStr;
 
 pub type ParseResult<T> = Result<T, ErrorKind>;
 
 /// The error for an unexpected value.
 pub fn unexpected<T>(read: &str, expected: &'static str) -> ParseResult<T> {
-    Err(ErrorKind::Unexpected { read: shown(read), expected })
+    Err(ErrorKind::Unexpected { read: excerpt(read), expected })
 }
 
 /// The values of one line, separated by single spaces and read in order. The `expected` argument of the
--- a/daemon/src/fleet/council/leave_tests.rs
+++ b/daemon/src/fleet/council/leave_tests.rs
@@ -6,13 +6,13 @@
 
 /// Holds slots 0 and 1 of 32, and the module uses them.
 fn council() -> Council {
-    let terms = CouncilTerms::new(ME.0, ME.1, &[COUNCILLOR], 1);
+    let terms = CouncilConfig::new(ME.0, ME.1, &[COUNCILLOR], 1);
     let own = Head { slots: 32, lease_ms: 1_000, drift_ppm: 0 };
     let parts = own.terms(&[COUNCILLOR]);
     let mut holder = holder();
     holds(&mut holder, Ms(0.0), 1, 2);
     let (needs, renewals) =
-        (Needs::born(Ms(0.0), ME.0, parts.clone()), Renewals::born(Ms(0.0), parts.clone()));
+        (SlotBalancer::new(Ms(0.0), ME.0, parts.clone()), LeaseGrants::new(Ms(0.0), parts.clone()));
     let mut it = Council {
         me: ME,
         names: BTreeMap::new(),
@@ -29,7 +29,7 @@
         look_at: Ms(0.0),
         arrivals: Cell::new(0),
         alive: BTreeMap::new(),
-        figures: Figures::default(),
+        figures: Counters::default(),
         tally: Tally::default(),
     };
     it.bell(Ms(0.0), &mut Outs::default());
--- a/daemon/src/owner.rs
+++ b/daemon/src/owner.rs
@@ -9,11 +9,11 @@
 use crate::post::{Core, Errand, News, Slot};
 use async_channel::{Receiver, Sender};
 use hands::Hands;
-use ottersail_cores::Room;
+use ottersail_cores::OwnerLoad;
 use ottersail_front::ids::ViewingId;
 use ottersail_front::recording::{EffectRecorder, FrontInput};
 use ottersail_front::{Front, Ms, RequestId};
-use ottersail_net::{slept, Clock, Server, Timer};
+use ottersail_net::{idle_time, Clock, ConnectionCounts, Timer};
 pub use record::Tape;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
 /// News taken in a row before other tasks have their turn.
 const AT_ONCE: usize = 64;
 
-pub struct Owner {
+pub struct PlacementOwner {
     pub clock: Clock,
     front: RefCell<Front>,
     last: Cell<f64>,
@@ -36,28 +36,28 @@
     /// order, so that a set-up is closed before the next goes out, also where its core stands still in
     /// between.
     homes: RefCell<BTreeMap<ViewingId, usize>>,
-    room: RefCell<Room>,
+    room: RefCell<OwnerLoad>,
     sweep_homes_at: Cell<usize>,
     armed: Cell<f64>,
     rearm: (Sender<()>, Receiver<()>),
     times: Times,
-    server: Arc<Server>,
+    server: Arc<ConnectionCounts>,
     /// The other members, if it has any; the front knows its part of what all share.
     pub fleet: OnceCell<Rc<Fleet>>,
-    /// Time spent in the front so far.
-    pub spent: Cell<Duration>,
+    /// Time time_in_front in the front so far.
+    pub time_in_front: Cell<Duration>,
 }
 
-impl Owner {
+impl PlacementOwner {
     pub fn new(
         clock: Clock,
         front: Front,
         tape: Option<Tape>,
         cores: Vec<Arc<Core>>,
         times: Times,
-        server: Arc<Server>,
-    ) -> Rc<Owner> {
-        Rc::new(Owner {
+        server: Arc<ConnectionCounts>,
+    ) -> Rc<PlacementOwner> {
+        Rc::new(PlacementOwner {
             clock,
             front: RefCell::new(front),
             last: Cell::new(0.0),
@@ -65,26 +65,26 @@
             slots: RefCell::default(),
             cores,
             homes: RefCell::default(),
-            room: RefCell::new(Room::new(clock.now())),
+            room: RefCell::new(OwnerLoad::new(clock.now())),
             sweep_homes_at: Cell::new(1024),
             armed: Cell::new(f64::INFINITY),
             rearm: async_channel::bounded(1),
             times,
             server,
             fleet: OnceCell::new(),
-            spent: Cell::default(),
+            time_in_front: Cell::default(),
         })
     }
 
     /// Takes news for ever.
-    pub async fn listen(self: Rc<Owner>, news: Receiver<News>) {
+    pub async fn listen(self: Rc<PlacementOwner>, news: Receiver<News>) {
         let mut in_a_row = 0;
         while let Ok(it) = news.recv().await {
             match it {
                 News::Happened { told, slot } => self.happened(told, slot),
                 News::Page(to) => {
                     let (open, away) = (self.server.open(), self.server.turned_away());
-                    let text = self.front(|it| {
+                    let text = self.with_front(|it| {
                         page(it, &self.times, (open, away), &self.cores, self.fleet.get().map(|it| &**it))
                     });
                     _ = to.try_send(text);
@@ -112,16 +112,16 @@
             self.slots.borrow_mut().insert(*ask, (slot, trace));
         }
         if let (FrontInput::TitleRequested { .. }, Some(fleet)) = (&told, self.fleet.get()) {
-            fleet.arrived();
+            fleet.viewing_requested();
         }
         if let FrontInput::RequestClosed { request: ask } = &told {
             self.slots.borrow_mut().remove(ask);
         }
-        self.tell(&told);
+        self.handle(&told);
     }
 
     /// Tells the front that something happened, and sees to what it wants.
-    pub fn tell(&self, told: &FrontInput) {
+    pub fn handle(&self, told: &FrontInput) {
         let now = self.clock.now().max(self.last.get());
         self.last.set(now);
         let began = Instant::now();
@@ -143,7 +143,7 @@
                 }
             }
         }
-        self.spent.set(self.spent.get() + began.elapsed());
+        self.time_in_front.set(self.time_in_front.get() + began.elapsed());
         let due = front.next_timer().map_or(f64::INFINITY, |it| it.0);
         if due < self.armed.get() {
             _ = self.rearm.0.try_send(());
@@ -151,8 +151,8 @@
     }
 
     /// Set-ups so far, and all their times in milliseconds.
-    pub fn set_ups(&self) -> (u64, u64) {
-        self.times.set_ups()
+    pub fn set_up_totals(&self) -> (u64, u64) {
+        self.times.set_up_totals()
     }
 
     /// Ends the record, since what follows could not be played back.
@@ -160,14 +160,14 @@
         *self.tape.borrow_mut() = None;
     }
 
-    pub fn front<T>(&self, look: impl FnOnce(&mut Front) -> T) -> T {
+    pub fn with_front<T>(&self, look: impl FnOnce(&mut Front) -> T) -> T {
         look(&mut self.front.borrow_mut())
     }
 
     /// Rings when the front wants to be rung.
-    pub async fn ring(self: Rc<Owner>) {
+    pub async fn ring(self: Rc<PlacementOwner>) {
         loop {
-            let due = self.front(|it| it.next_timer()).map_or(f64::INFINITY, |it| it.0);
+            let due = self.with_front(|it| it.next_timer()).map_or(f64::INFINITY, |it| it.0);
             self.armed.set(due);
             let wait = async {
                 if due.is_finite() {
@@ -181,8 +181,8 @@
                 _ = self.rearm.1.recv().await;
             })
             .await;
-            if self.front(|it| it.next_timer()).is_some_and(|it| it.0 <= self.clock.now()) {
-                self.tell(&FrontInput::TimersDue);
+            if self.with_front(|it| it.next_timer()).is_some_and(|it| it.0 <= self.clock.now()) {
+                self.handle(&FrontInput::TimersDue);
             }
             self.sweep();
             // Other tasks have their turn between two rings, however many are due.
@@ -219,8 +219,8 @@
     fn settle_at(&self, vw: &ViewingId, ask: Option<RequestId>) {
         let asker = ask.map_or(0, |it| it.0 as usize % self.cores.len());
         let mut room = self.room.borrow_mut();
-        room.look(self.clock.now(), slept().as_secs_f64() * 1e3);
-        let core = room.home(asker);
+        room.sample(self.clock.now(), idle_time().as_secs_f64() * 1e3);
+        let core = room.core_for(asker);
         self.homes.borrow_mut().entry(vw.clone()).or_insert(core);
     }
 
--- a/daemon/src/run/nothing.rs
+++ b/daemon/src/run/discard_output.rs
@@ -4,9 +4,9 @@
 use ottersail_front::{Effects, Reply, RequestId, SetUp};
 
 /// Wishes before anything has happened: there are none.
-pub struct NoOrders;
+pub struct DiscardOutput;
 
-impl Effects for NoOrders {
+impl Effects for DiscardOutput {
     fn set_up(&mut self, _: &SetUp) {}
     fn cancel_set_up(&mut self, _: &ViewingId, _: usize, _: &ServerId, _: &str) {}
     fn change_rung(&mut self, _: &ViewingId, _: &ServerId, _: &str, _: Rung) {}
--- a/simulation/src/model/managers.rs
+++ b/simulation/src/model/managers.rs
@@ -22,7 +22,7 @@
             ticket_lifetime_s: 600,
             max_waiting: 100_000,
             max_watches: 1_000_000,
-            max_send_delay: Ms(self.plan.grace.0 * 0.25),
+            max_send_delay: Ms(self.plan.drain_grace.0 * 0.25),
             end_timeout: Ms(1000.0),
         };
         let mut wishes = Wishes::default();
