--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,18 +1,18 @@
-//! What the program is made of: sockets, signals, settings, logs round the library `ottersail-front`;
-//! rehearsals.
+//! The parts of the `ottersail` program: sockets, signals, settings, logs and metrics around the library
+//! `ottersail-front`, and the rehearsals that test whole fleets on one machine.
 
 pub mod error;
 pub mod fleet;
 pub mod judge;
+pub mod messages;
 pub mod metrics;
 pub mod node;
 pub mod owner;
-pub mod post;
 pub mod rehearse;
 pub mod replay;
-pub mod rescue;
 pub mod run;
 pub mod service;
 pub mod settings;
+pub mod stalled_cores;
 pub mod trial;
 pub mod worker;
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The session manager as a program.
+//! The `ottersail` program: a session manager, and tools that check, rehearse, replay and judge it.
 
 use clap::{Parser, Subcommand};
 use ottersail_daemon::error::{ArgumentError, NodeError, RunError};
@@ -13,189 +13,198 @@
 /// A session front that places video viewings on streaming servers and shapes them.
 #[derive(Parser)]
 #[command(version, about)]
-struct Line {
-    /// What is logged: a level, or a filter such as info,ottersail_front=debug. A manager's default is info,
-    /// else warn.
+struct CommandLine {
+    /// Log level, or a filter such as info,ottersail_front=debug. The default is info for managers and warn
+    /// for other commands.
     #[arg(long, global = true)]
     log: Option<String>,
-    /// Logs as JSON, one object a line.
+    /// Log as JSON, one object per line.
     #[arg(long, global = true)]
     log_json: bool,
     #[command(subcommand)]
-    job: Job,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Job {
-    /// Runs a manager until SIGTERM; SIGHUP reads its settings again.
+enum Command {
+    /// Run a manager until SIGTERM; SIGHUP reads its settings again.
     Run {
         settings: PathBuf,
-        /// Writes down all that happens, for `replay`.
+        /// Record all events, for `replay`.
         #[arg(long)]
         record: Option<PathBuf>,
-        /// Chance from a fixed start.
+        /// Seed of the random draws.
         #[arg(long)]
         seed: Option<u64>,
-        /// For tests: on SIGUSR1 that core stands still for so many milliseconds, CORE:MS.
-        #[arg(long, hide = true, value_parser = stall)]
-        stall: Option<(usize, u64)>,
-        /// For days with many processes: ends when the process that started it does, however that ends.
+        /// For tests: block that core's thread for so many milliseconds on SIGUSR1, CORE:MS.
+        #[arg(long, hide = true, value_parser = parse_stall)]
+        stall: Option<run::Stall>,
+        /// For rehearsals: end when the parent process ends, even if that is killed.
         #[arg(long, hide = true)]
         with_parent: bool,
-        /// For comparison: picks plainly, with no other decisions.
-        #[arg(long, hide = true, value_parser = pick, default_value = "own")]
-        pick: Picked,
+        /// For comparison: use a baseline policy in place of the usual decisions.
+        #[arg(long, hide = true, value_parser = parse_pick, default_value = "own")]
+        pick: PickChoice,
     },
-    /// Plays a manager on the live platform, as the file says that BALANCER_CONFIG names, until SIGTERM.
+    /// Run a manager of the live platform until SIGTERM, with the configuration file that BALANCER_CONFIG
+    /// names.
     Node,
-    /// Reads a manager's settings and the orders' file that they name, a day's settings, or an orders' file,
-    /// and tells all that is wrong with them.
+    /// Read a manager's settings and the orders' file that they name, a day's settings, or an orders' file,
+    /// and print all problems.
     Check { settings: PathBuf },
-    /// Plays a day on loopback, managers, servers, players and faults, and judges it. Ends 0 if all rules
-    /// hold.
+    /// Play a day on loopback with managers, servers, players and faults, and judge it. The exit code is 0 if
+    /// all rules hold.
     Rehearse {
         day: PathBuf,
-        /// Writes down what each manager was told and wanted, for `replay`.
+        /// Record the events and commands of each manager, for `replay`.
         #[arg(long)]
         record: Option<PathBuf>,
-        /// Writes down what went over the sockets, for `judge`.
+        /// Record the traffic on all sockets, for `judge`.
         #[arg(long)]
         traffic: Option<PathBuf>,
-        /// In place of the day's own.
+        /// Seed, in place of the day's.
         #[arg(long)]
         seed: Option<u64>,
         /// Cores of each manager.
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u8).range(1..=64))]
         cores: u8,
-        /// Keeps the managers' files and logs.
+        /// Keep the managers' files and logs.
         #[arg(long)]
         keep: bool,
-        /// For comparison: managers that pick plainly (random, least-loaded), in place of the day's own.
-        #[arg(long, value_parser = pick)]
-        pick: Option<Picked>,
-        /// For comparison: so many managers, in place of the day's own.
+        /// For comparison: managers use a baseline policy (random, least-loaded), in place of the day's.
+        #[arg(long, value_parser = parse_pick)]
+        pick: Option<PickChoice>,
+        /// For comparison: number of managers, in place of the day's.
         #[arg(long)]
         managers: Option<u16>,
-        /// Another version of this program, for the second half of the managers.
+        /// Another version of this program, for every second manager.
         #[arg(long)]
         beside: Option<PathBuf>,
-        /// Writes the figures as JSON and as a page with plots into that folder.
+        /// Write the figures as JSON and as a page with plots into this folder.
         #[arg(long)]
         report: Option<PathBuf>,
     },
-    /// Tells the library on a fake clock what a record says, and compares what it wants.
+    /// Replay a record with a fake clock, and compare what the library asks for with what is recorded.
     Replay {
         record: PathBuf,
-        /// The keys of that time; those beside the record, if any, else those of its settings.
+        /// The keys at the time of the record. The default is RECORD.keys if that exists, else the file that
+        /// the recorded settings name.
         #[arg(long)]
         keys: Option<PathBuf>,
     },
-    /// Judges the rules from a record of what went over the sockets.
+    /// Judge the rules by a record of the traffic on all sockets.
     Judge {
         traffic: PathBuf,
-        /// Writes the figures as JSON and as a page with plots into that folder.
+        /// Write the figures as JSON and as a page with plots into this folder.
         #[arg(long)]
         report: Option<PathBuf>,
     },
 }
 
-/// A manager went out by a permit: whoever supervises it starts the version that `[releases] next` names.
-const RELEASED: u8 = 3;
+/// Exit code of a manager that used a release's permit. Its supervisor then starts the version that
+/// `[releases] next` names.
+const EXIT_RELEASED: u8 = 3;
+/// Exit code for settings or arguments that are invalid, and for commands that fail.
+const EXIT_ERROR: u8 = 2;
 
 fn main() -> ExitCode {
-    let line = Line::parse();
-    let quiet = !matches!(line.job, Job::Run { .. } | Job::Node);
-    let log = line.log.clone().unwrap_or_else(|| if quiet { "warn" } else { "info" }.to_string());
+    let command_line = CommandLine::parse();
+    let is_manager = matches!(command_line.command, Command::Run { .. } | Command::Node);
+    let default_log = if is_manager { "info" } else { "warn" };
+    let log = command_line.log.clone().unwrap_or_else(|| default_log.to_string());
     let filter = match EnvFilter::try_new(&log) {
         Ok(filter) => filter,
-        Err(it) => return add_problem(&ArgumentError::Log { value: log, cause: it.to_string() }),
+        Err(error) => return fail(&ArgumentError::Log { value: log, cause: error.to_string() }),
     };
-    let logs =
+    let subscriber =
         tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_target(false);
-    if line.log_json {
-        logs.json().init();
+    if command_line.log_json {
+        subscriber.json().init();
     } else {
-        logs.with_ansi(false).init();
+        subscriber.with_ansi(false).init();
     }
-    match line.job {
-        Job::Run { settings, record, seed, stall, with_parent, pick } => {
-            let asked = run::Asked { record, seed, stall, with_parent, pick: pick.0 };
-            match run::run(settings, asked) {
-                Ok(run::Ended::Told) => ExitCode::SUCCESS,
-                Ok(run::Ended::Released) => ExitCode::from(RELEASED),
-                Err(trouble) => add_problem(&trouble),
+    match command_line.command {
+        Command::Run { settings, record, seed, stall, with_parent, pick } => {
+            let options = run::RunOptions { record, seed, stall, with_parent, pick: pick.0 };
+            match run::run(settings, options) {
+                Ok(run::ExitReason::Signal) => ExitCode::SUCCESS,
+                Ok(run::ExitReason::Release) => ExitCode::from(EXIT_RELEASED),
+                Err(error) => fail(&error),
             }
         }
-        Job::Node => {
-            let Some(path) = std::env::var_os("BALANCER_CONFIG").filter(|it| !it.is_empty()) else {
-                return add_problem(&NodeError::ConfigNotSet);
+        Command::Node => {
+            let Some(path) = std::env::var_os("BALANCER_CONFIG").filter(|path| !path.is_empty()) else {
+                return fail(&NodeError::ConfigNotSet);
             };
             match node::run(path.into()) {
                 Ok(()) => ExitCode::SUCCESS,
-                Err(trouble) => add_problem(&trouble),
+                Err(error) => fail(&error),
             }
         }
-        Job::Check { settings } => match check(&settings) {
-            Ok(what) => {
-                println!("{}: {what}", settings.display());
+        Command::Check { settings } => match check(&settings) {
+            Ok(description) => {
+                println!("{}: {description}", settings.display());
                 ExitCode::SUCCESS
             }
-            Err(trouble) => add_problem(&trouble),
+            Err(error) => fail(&error),
         },
-        Job::Rehearse { day, record, traffic, seed, cores, keep, pick, managers, beside, report } => {
-            let asked = rehearse::Rehearsal {
+        Command::Rehearse { day, record, traffic, seed, cores, keep, pick, managers, beside, report } => {
+            let options = rehearse::RehearsalOptions {
                 day,
                 record,
                 traffic,
                 seed,
-                log: line.log.unwrap_or_else(|| "info".to_string()),
+                log: command_line.log.unwrap_or_else(|| "info".to_string()),
                 keep,
                 cores: usize::from(cores),
-                pick: pick.map(|it| it.0),
+                pick: pick.map(|choice| choice.0),
                 managers: managers.map(usize::from),
                 beside,
                 report,
             };
-            match rehearse::rehearse(&asked) {
-                Ok(verdict) => tell(&verdict),
-                Err(trouble) => add_problem(&trouble),
+            match rehearse::rehearse(&options) {
+                Ok(verdict) => print_verdict(&verdict),
+                Err(error) => fail(&error),
             }
         }
-        Job::Replay { record, keys } => match replay::replay(&record, keys) {
-            Ok(done) => {
-                println!("{done}");
+        Command::Replay { record, keys } => match replay::replay(&record, keys) {
+            Ok(summary) => {
+                println!("{summary}");
                 ExitCode::SUCCESS
             }
-            Err(trouble) => add_problem(&trouble),
+            Err(error) => fail(&error),
         },
-        Job::Judge { traffic, report } => match judge::judge_traffic(&traffic, report.as_deref()) {
-            Ok(verdict) => tell(&verdict),
-            Err(trouble) => add_problem(&trouble),
+        Command::Judge { traffic, report } => match judge::judge_traffic(&traffic, report.as_deref()) {
+            Ok(verdict) => print_verdict(&verdict),
+            Err(error) => fail(&error),
         },
     }
 }
 
+/// A baseline policy, or `None` for the usual decisions.
 #[derive(Clone, Copy)]
-struct Picked(Option<Pick>);
+struct PickChoice(Option<Pick>);
 
-fn pick(text: &str) -> Result<Picked, ArgumentError> {
-    let found = PICKS.iter().find(|it| it.0 == text).map(|it| Picked(it.1));
-    let choices = || PICKS.iter().map(|it| it.0).collect();
+fn parse_pick(text: &str) -> Result<PickChoice, ArgumentError> {
+    let found = PICKS.iter().find(|(name, _)| *name == text).map(|(_, pick)| PickChoice(*pick));
+    let choices = || PICKS.iter().map(|(name, _)| *name).collect();
     found.ok_or_else(|| ArgumentError::Pick { value: text.to_string(), choices: choices() })
 }
 
-fn stall(text: &str) -> Result<(usize, u64), ArgumentError> {
-    let parts = text.split_once(':').and_then(|(core, ms)| Some((core.parse().ok()?, ms.parse().ok()?)));
-    parts.ok_or_else(|| ArgumentError::Stall { value: text.to_string() })
+fn parse_stall(text: &str) -> Result<run::Stall, ArgumentError> {
+    let stall = text
+        .split_once(':')
+        .and_then(|(core, ms)| Some(run::Stall { core: core.parse().ok()?, ms: ms.parse().ok()? }));
+    stall.ok_or_else(|| ArgumentError::Stall { value: text.to_string() })
 }
 
-/// What is wrong, where, and what can be tried: a line or more.
-fn add_problem(trouble: &dyn Display) -> ExitCode {
-    eprintln!("{trouble}");
-    ExitCode::from(2)
+/// Prints an error, which may have several lines.
+fn fail(error: &dyn Display) -> ExitCode {
+    eprintln!("{error}");
+    ExitCode::from(EXIT_ERROR)
 }
 
-fn tell(verdict: &Verdict) -> ExitCode {
+fn print_verdict(verdict: &Verdict) -> ExitCode {
     print!("{}", verdict.table());
     if verdict.holds() {
         println!("\nall rules hold");
@@ -206,20 +215,21 @@
     }
 }
 
-/// A day's file has a `[day]`, an orders' file its kinds of headings; anything else is read as a manager's.
+/// Checks a settings file and returns what kind of file it is. A day's file has the heading `[day]`, an orders'
+/// file starts with one of its own headings; anything else is read as a manager's file.
 fn check(path: &Path) -> Result<&'static str, RunError> {
     let text = settings::load(path)?;
-    if text.lines().any(|it| it.trim() == "[day]") {
+    if text.lines().any(|line| line.trim() == "[day]") {
         settings::day::parse_day(path, &text)?;
         return Ok("a day that can be rehearsed");
     }
-    if settings::orders::are_orders(&text) {
+    if settings::orders::is_orders_file(&text) {
         settings::orders::load_orders(path)?;
         return Ok("orders that a manager can read");
     }
-    let (_, manager, _) = run::read(path)?;
-    // A manager starts without it, since it may be there later; who checks wants to know.
-    if let Some(orders) = manager.releases.and_then(|it| it.orders) {
+    let loaded = run::load_settings(path)?;
+    // A manager starts without the orders' file, because the file may be written later; a check requires it.
+    if let Some(orders) = loaded.manager.releases.and_then(|releases| releases.orders) {
         settings::orders::load_orders(&orders)?;
     }
     Ok("settings that a manager can run with")
--- a/daemon/src/metrics.rs
+++ b/daemon/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Figures in the usual text format.
+//! The manager's metrics in Prometheus' text format.
 
 use crate::fleet::Fleet;
-use crate::post::Core;
+use crate::messages::CoreState;
 use ottersail_front::{Counts, Front, Reply};
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
@@ -13,57 +13,74 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-type Of = Vec<(&'static str, String)>;
+type Labels = Vec<(&'static str, String)>;
 
-/// Bounds in seconds.
-const BOUNDS: [f64; 12] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0];
+/// Upper bounds of the histograms' buckets, in seconds.
+const BUCKETS_S: [f64; 12] = [0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0];
 
-/// How long answers took.
+/// The number and the total duration of set-ups.
+#[derive(Debug, Default)]
+struct SetUpTotals {
+    count: AtomicU64,
+    micros: AtomicU64,
+}
+
+/// Histograms of how long answers to players and set-ups took. Clones share their values.
 #[derive(Clone, Debug)]
-pub struct Times {
+pub struct Latencies {
     played: Histogram,
     refused: Histogram,
     set_up: Histogram,
-    /// How many set-ups, and their microseconds, for what members tell one another.
-    sums: Arc<(AtomicU64, AtomicU64)>,
+    /// For the reports that members send to one another.
+    set_up_totals: Arc<SetUpTotals>,
 }
 
-impl Default for Times {
+impl Default for Latencies {
     fn default() -> Self {
-        Times {
-            played: Histogram::new(BOUNDS),
-            refused: Histogram::new(BOUNDS),
-            set_up: Histogram::new(BOUNDS),
-            sums: Arc::default(),
+        Latencies {
+            played: Histogram::new(BUCKETS_S),
+            refused: Histogram::new(BUCKETS_S),
+            set_up: Histogram::new(BUCKETS_S),
+            set_up_totals: Arc::default(),
         }
     }
 }
 
-impl Times {
-    pub fn answered(&self, reply: &Reply, ms: f64) {
-        let of = if matches!(reply, Reply::Playlist(_)) { &self.played } else { &self.refused };
-        of.observe(ms / 1e3);
+impl Latencies {
+    /// Records that a request was answered after `ms` milliseconds.
+    pub fn record_answer(&self, reply: &Reply, ms: f64) {
+        let histogram = if matches!(reply, Reply::Playlist(_)) { &self.played } else { &self.refused };
+        histogram.observe(ms / 1e3);
     }
 
-    /// A server answered a set-up, or it failed.
-    pub fn set_up(&self, took: Duration) {
-        self.set_up.observe(took.as_secs_f64());
-        self.sums.0.fetch_add(1, Ordering::Relaxed);
-        self.sums.1.fetch_add(took.as_micros() as u64, Ordering::Relaxed);
+    /// Records a set-up that a server answered or that failed.
+    pub fn record_set_up(&self, duration: Duration) {
+        self.set_up.observe(duration.as_secs_f64());
+        self.set_up_totals.count.fetch_add(1, Ordering::Relaxed);
+        self.set_up_totals.micros.fetch_add(duration.as_micros() as u64, Ordering::Relaxed);
     }
 
-    /// Set-ups so far, and all their times in milliseconds.
+    /// The number of set-ups so far, and the sum of their durations in milliseconds.
     pub fn set_up_totals(&self) -> (u64, u64) {
-        (self.sums.0.load(Ordering::Relaxed), self.sums.1.load(Ordering::Relaxed) / 1_000)
+        let SetUpTotals { count, micros } = &*self.set_up_totals;
+        (count.load(Ordering::Relaxed), micros.load(Ordering::Relaxed) / 1_000)
     }
 }
 
-/// The page that is scraped.
-pub fn page(
+/// Counts of the HTTP server's connections.
+pub struct ConnectionCounts {
+    /// Connections open now.
+    pub open: usize,
+    /// Connections refused so far.
+    pub refused: u64,
+}
+
+/// The metrics page that Prometheus scrapes.
+pub fn encode_metrics(
     front: &Front,
-    times: &Times,
-    (open, turned_away): (usize, u64),
-    cores: &[Arc<Core>],
+    latencies: &Latencies,
+    connections: &ConnectionCounts,
+    cores: &[Arc<CoreState>],
     fleet: Option<&Fleet>,
 ) -> String {
     let mut registry = Registry::with_prefix("ottersail");
@@ -85,7 +102,8 @@
         ended,
         probes,
     } = front.counts();
-    let counts = [
+    let refused = connections.refused;
+    let counters = [
         ("asked", "Viewings asked for", asked),
         ("again", "Viewings taken as a viewer's coming again by reload", again),
         ("played", "Viewings that began to play", played),
@@ -99,9 +117,9 @@
         ("broken_off", "Viewings lost with their server", broken_off),
         ("ended", "Viewings that played and are over", ended),
         ("probes", "Servers asked for their load", probes),
-        ("connections_turned_away", "Connections turned away: too many, or no descriptor free", turned_away),
+        ("connections_turned_away", "Connections turned away: too many, or no descriptor free", refused),
     ];
-    for (name, help, value) in counts {
+    for (name, help, value) in counters {
         let counter: Counter = Counter::default();
         counter.inc_by(value);
         registry.register(name, help, counter);
@@ -111,33 +129,34 @@
         ("watches", "Viewers who watch", front.watches()),
         ("viewings", "Viewings held, set-ups included", front.viewings()),
         ("servers", "Servers in the list", front.servers()),
-        ("connections", "Connections open to players", open),
+        ("connections", "Connections open to players", connections.open),
     ];
     for (name, help, value) in gauges {
         let gauge: Gauge = Gauge::default();
         gauge.set(value as i64);
         registry.register(name, help, gauge);
     }
-    let (held, answered): (Family<Of, Gauge>, Family<Of, Counter>) = Default::default();
-    let queued: Family<Of, Gauge> = Family::default();
-    for (core, it) in cores.iter().enumerate() {
-        let of = [("core", core.to_string())].to_vec();
-        held.get_or_create(&of).set(it.open.load(Ordering::Relaxed) as i64);
-        answered.get_or_create(&of).inc_by(it.answered.load(Ordering::Relaxed));
-        queued.get_or_create(&of).set(it.errands.waiting() as i64);
+    let open: Family<Labels, Gauge> = Family::default();
+    let answered: Family<Labels, Counter> = Family::default();
+    let queued: Family<Labels, Gauge> = Family::default();
+    for (index, core) in cores.iter().enumerate() {
+        let labels = [("core", index.to_string())].to_vec();
+        open.get_or_create(&labels).set(core.open_connections.load(Ordering::Relaxed) as i64);
+        answered.get_or_create(&labels).inc_by(core.answered.load(Ordering::Relaxed));
+        queued.get_or_create(&labels).set(core.commands.count() as i64);
     }
-    registry.register("core_connections", "Connections open to players, by core", held);
+    registry.register("core_connections", "Connections open to players, by core", open);
     registry.register("core_answered", "Requests answered, by core", answered);
     registry.register("core_errands", "Errands that wait, by core", queued);
-    registry.register("answer_seconds_played", "Time to the answer, played", times.played.clone());
+    registry.register("answer_seconds_played", "Time to the answer, played", latencies.played.clone());
     registry.register(
         "answer_seconds_refused",
         "Time to the answer, blocked or aborted",
-        times.refused.clone(),
+        latencies.refused.clone(),
     );
-    registry.register("set_up_seconds", "Time a set-up was out at a server", times.set_up.clone());
+    registry.register("set_up_seconds", "Time a set-up was out at a server", latencies.set_up.clone());
     let mut text = String::new();
-    // Writing to memory can't fail.
+    // Writing to a string can't fail.
     _ = encode(&mut text, &registry);
     text
 }
--- a/daemon/src/owner.rs
+++ b/daemon/src/owner.rs
@@ -1,20 +1,21 @@
-//! The owner of placement: the one thread that holds the front, its clock and its record. What happens comes
-//! in as news from all cores; what the front wants goes out as errands. Nothing here decides.
+//! The placement owner: the one thread that holds the front, its clock and its record. Events come in as
+//! messages from all cores; what the front asks for goes out as commands to the cores. All decisions are made
+//! in the front.
 
-mod hands;
+mod output;
 mod record;
 
 use crate::fleet::Fleet;
-use crate::metrics::{page, Times};
-use crate::post::{Core, Errand, News, Slot};
+use crate::messages::{CoreCommand, CoreState, OwnerMessage, TracedRequest};
+use crate::metrics::{encode_metrics, ConnectionCounts, Latencies};
 use async_channel::{Receiver, Sender};
-use hands::Hands;
 use ottersail_cores::Room;
 use ottersail_front::ids::ViewingId;
 use ottersail_front::tape::{Scribe, Told};
 use ottersail_front::{AskId, Front, Ms};
 use ottersail_net::{slept, Clock, Server, Timer};
-pub use record::Tape;
+use output::CommandOutput;
+pub use record::EventRecorder;
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -22,210 +23,228 @@
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// News taken in a row before other tasks have their turn.
-const AT_ONCE: usize = 64;
+/// Messages that are processed in a row before the task yields to others.
+const MESSAGES_BEFORE_YIELD: usize = 64;
+/// The assignment of viewings to cores is not cleaned up while it has fewer entries than this.
+const MIN_ASSIGNMENTS_BEFORE_CLEANUP: usize = 1024;
+/// Timers fire this much late, in milliseconds, so that the front's due time has passed when it is checked.
+const TIMER_SLACK_MS: f64 = 0.05;
 
+/// The placement owner of a manager.
 pub struct PlacementOwner {
     pub clock: Clock,
     front: RefCell<Front>,
-    last: Cell<f64>,
-    tape: RefCell<Option<Tape>>,
-    slots: RefCell<BTreeMap<AskId, (Arc<Slot>, String)>>,
-    cores: Vec<Arc<Core>>,
-    /// The core that sees to a viewing, from its first set-up on: what is done for one viewing is done in
-    /// order, so that a set-up is closed before the next goes out, also where its core stands still in
-    /// between.
-    homes: RefCell<BTreeMap<ViewingId, usize>>,
+    /// Time of the last event, in milliseconds since 1970. Events never go back in time.
+    last_event_ms: Cell<f64>,
+    recorder: RefCell<Option<EventRecorder>>,
+    /// Requests that the front has accepted and not answered yet.
+    requests: RefCell<BTreeMap<AskId, TracedRequest>>,
+    cores: Vec<Arc<CoreState>>,
+    /// The core that sends a viewing's commands, from its first set-up on. All commands of one viewing go
+    /// through one core, so that they stay in order: a set-up is closed before the next one is sent, even if
+    /// the core stalls in between.
+    core_by_viewing: RefCell<BTreeMap<ViewingId, usize>>,
     room: RefCell<Room>,
-    sweep_homes_at: Cell<usize>,
-    armed: Cell<f64>,
-    rearm: (Sender<()>, Receiver<()>),
-    times: Times,
+    /// `core_by_viewing` is cleaned up once it has this many entries.
+    cleanup_at: Cell<usize>,
+    /// When the timer fires next, in milliseconds since 1970.
+    timer_due_ms: Cell<f64>,
+    reset_timer_sender: Sender<()>,
+    reset_timer_receiver: Receiver<()>,
+    latencies: Latencies,
     server: Arc<Server>,
-    /// The other members, if it has any; the front knows its part of what all share.
+    /// The fleet, if this manager is a member of one. The front knows only this manager's share of the total.
     pub fleet: OnceCell<Rc<Fleet>>,
-    /// Time time_in_front in the front so far.
+    /// Total time spent in the front.
     pub time_in_front: Cell<Duration>,
 }
 
 impl PlacementOwner {
+    /// Creates the owner of `front`, which sends its commands to `cores`.
     pub fn new(
         clock: Clock,
         front: Front,
-        tape: Option<Tape>,
-        cores: Vec<Arc<Core>>,
-        times: Times,
+        recorder: Option<EventRecorder>,
+        cores: Vec<Arc<CoreState>>,
+        latencies: Latencies,
         server: Arc<Server>,
     ) -> Rc<PlacementOwner> {
+        let (reset_timer_sender, reset_timer_receiver) = async_channel::bounded(1);
         Rc::new(PlacementOwner {
             clock,
             front: RefCell::new(front),
-            last: Cell::new(0.0),
-            tape: RefCell::new(tape),
-            slots: RefCell::default(),
+            last_event_ms: Cell::new(0.0),
+            recorder: RefCell::new(recorder),
+            requests: RefCell::default(),
             cores,
-            homes: RefCell::default(),
+            core_by_viewing: RefCell::default(),
             room: RefCell::new(Room::new(clock.now())),
-            sweep_homes_at: Cell::new(1024),
-            armed: Cell::new(f64::INFINITY),
-            rearm: async_channel::bounded(1),
-            times,
+            cleanup_at: Cell::new(MIN_ASSIGNMENTS_BEFORE_CLEANUP),
+            timer_due_ms: Cell::new(f64::INFINITY),
+            reset_timer_sender,
+            reset_timer_receiver,
+            latencies,
             server,
             fleet: OnceCell::new(),
             time_in_front: Cell::default(),
         })
     }
 
-    /// Takes news for ever.
-    pub async fn listen(self: Rc<PlacementOwner>, news: Receiver<News>) {
+    /// Processes messages from the cores until all of them have dropped their sender.
+    pub async fn process_messages(self: Rc<PlacementOwner>, messages: Receiver<OwnerMessage>) {
         let mut in_a_row = 0;
-        while let Ok(it) = news.recv().await {
-            match it {
-                News::Happened { told, slot } => self.happened(told, slot),
-                News::Page(to) => {
-                    let (open, away) = (self.server.open(), self.server.turned_away());
-                    let text = self.with_front(|it| {
-                        page(it, &self.times, (open, away), &self.cores, self.fleet.get().map(|it| &**it))
+        while let Ok(message) = messages.recv().await {
+            match message {
+                OwnerMessage::Event { event, request } => self.process_event(event, request),
+                OwnerMessage::Metrics(sender) => {
+                    let connections =
+                        ConnectionCounts { open: self.server.open(), refused: self.server.turned_away() };
+                    let text = self.with_front(|front| {
+                        let fleet = self.fleet.get().map(|fleet| &**fleet);
+                        encode_metrics(front, &self.latencies, &connections, &self.cores, fleet)
                     });
-                    _ = to.try_send(text);
+                    _ = sender.try_send(text);
                 }
             }
             in_a_row += 1;
-            if in_a_row >= AT_ONCE {
+            if in_a_row >= MESSAGES_BEFORE_YIELD {
                 in_a_row = 0;
                 futures_lite::future::yield_now().await;
             }
         }
     }
 
-    fn happened(&self, told: Told, slot: Option<(Arc<Slot>, String)>) {
-        if let (Some((slot, trace)), Told::Asked { ask, .. } | Told::Reloaded { ask, .. }) = (slot, &told) {
-            if !slot.claim.take() {
-                // Answered while it waited for the owner: nothing may be done for it any more.
+    fn process_event(&self, event: Told, request: Option<TracedRequest>) {
+        if let (Some(request), Told::Asked { ask, .. } | Told::Reloaded { ask, .. }) = (request, &event) {
+            if !request.pending.claim.take() {
+                // The request was answered while it waited for the owner; nothing may be done for it now.
                 return;
             }
-            self.slots.borrow_mut().insert(*ask, (slot, trace));
+            self.requests.borrow_mut().insert(*ask, request);
         }
-        if let (Told::Asked { .. }, Some(fleet)) = (&told, self.fleet.get()) {
+        if let (Told::Asked { .. }, Some(fleet)) = (&event, self.fleet.get()) {
             fleet.arrived();
         }
-        if let Told::Left { ask } = &told {
-            self.slots.borrow_mut().remove(ask);
+        if let Told::Left { ask } = &event {
+            self.requests.borrow_mut().remove(ask);
         }
-        self.handle(&told);
+        self.handle(&event);
     }
 
-    /// Tells the front that something happened, and sees to what it wants.
-    pub fn handle(&self, told: &Told) {
-        let now = self.clock.now().max(self.last.get());
-        self.last.set(now);
+    /// Passes an event to the front and carries out what the front asks for.
+    pub fn handle(&self, event: &Told) {
+        let now = self.clock.now().max(self.last_event_ms.get());
+        self.last_event_ms.set(now);
         let began = Instant::now();
         let mut front = self.front.borrow_mut();
-        let mut tape = self.tape.borrow_mut();
-        match tape.as_mut() {
-            None => told.tell(&mut front, Ms(now), &mut Hands(self)),
-            Some(open) => {
+        let mut recorder = self.recorder.borrow_mut();
+        match recorder.as_mut() {
+            None => event.tell(&mut front, Ms(now), &mut CommandOutput(self)),
+            Some(open_recorder) => {
                 let mut lines = Vec::new();
-                let mut hands = Hands(self);
-                told.tell(&mut front, Ms(now), &mut Scribe { lines: &mut lines, out: Some(&mut hands) });
-                if let Err(trouble) = open.line(now, self.core_of_told(told), told, &lines) {
-                    warn!(%trouble, "the record can't be written any more; it ends here");
-                    *tape = None;
+                let mut output = CommandOutput(self);
+                event.tell(&mut front, Ms(now), &mut Scribe { lines: &mut lines, out: Some(&mut output) });
+                if let Err(error) = open_recorder.append(now, self.core_of_event(event), event, &lines) {
+                    warn!(%error, "cannot write the record any more; it ends here");
+                    *recorder = None;
                 }
             }
         }
         self.time_in_front.set(self.time_in_front.get() + began.elapsed());
-        let due = front.next_due().map_or(f64::INFINITY, |it| it.0);
-        if due < self.armed.get() {
-            _ = self.rearm.0.try_send(());
+        let due = front.next_due().map_or(f64::INFINITY, |due| due.0);
+        if due < self.timer_due_ms.get() {
+            _ = self.reset_timer_sender.try_send(());
         }
     }
 
-    /// Set-ups so far, and all their times in milliseconds.
+    /// The number of set-ups so far, and the sum of their durations in milliseconds.
     pub fn set_up_totals(&self) -> (u64, u64) {
-        self.times.set_up_totals()
+        self.latencies.set_up_totals()
     }
 
-    /// Ends the record, since what follows could not be played back.
-    pub fn end_tape(&self) {
-        *self.tape.borrow_mut() = None;
+    /// Ends the record, because the events that follow could not be replayed.
+    pub fn end_record(&self) {
+        *self.recorder.borrow_mut() = None;
     }
 
-    pub fn with_front<T>(&self, look: impl FnOnce(&mut Front) -> T) -> T {
-        look(&mut self.front.borrow_mut())
+    /// Calls `access` with the front.
+    pub fn with_front<T>(&self, access: impl FnOnce(&mut Front) -> T) -> T {
+        access(&mut self.front.borrow_mut())
     }
 
-    /// Rings when the front wants to be rung.
-    pub async fn ring(self: Rc<PlacementOwner>) {
+    /// Calls the front whenever one of its timers is due, until the process ends.
+    pub async fn run_timers(self: Rc<PlacementOwner>) {
         loop {
-            let due = self.with_front(|it| it.next_due()).map_or(f64::INFINITY, |it| it.0);
-            self.armed.set(due);
+            let due = self.with_front(|front| front.next_due()).map_or(f64::INFINITY, |due| due.0);
+            self.timer_due_ms.set(due);
             let wait = async {
                 if due.is_finite() {
-                    // A little late, so that the time has come when it is looked at.
-                    Timer::at(self.clock.instant(due + 0.05)).await;
+                    Timer::at(self.clock.instant(due + TIMER_SLACK_MS)).await;
                 } else {
                     futures_lite::future::pending::<()>().await;
                 }
             };
             futures_lite::future::or(wait, async {
-                _ = self.rearm.1.recv().await;
+                _ = self.reset_timer_receiver.recv().await;
             })
             .await;
-            if self.with_front(|it| it.next_due()).is_some_and(|it| it.0 <= self.clock.now()) {
+            if self.with_front(|front| front.next_due()).is_some_and(|due| due.0 <= self.clock.now()) {
                 self.handle(&Told::TimeHasCome);
             }
-            self.sweep();
-            // Other tasks have their turn between two rings, however many are due.
+            self.clean_up_assignments();
+            // Yields to other tasks between two timers, however many are due.
             futures_lite::future::yield_now().await;
         }
     }
 
-    fn core_of_told(&self, told: &Told) -> usize {
-        match told {
+    fn core_of_event(&self, event: &Told) -> usize {
+        match event {
             Told::Asked { ask, .. } | Told::Reloaded { ask, .. } | Told::Left { ask } => {
                 ask.0 as usize % self.cores.len()
             }
             Told::SetUpEnded { vw, .. } | Told::RungChanged { vw, .. } | Told::LetGo { vw } => {
-                self.core_of(vw)
+                self.core_by_hash(vw)
             }
-            Told::Noted { server, .. } | Told::ServerLost { server } => self.core_of(server),
+            Told::Noted { server, .. } | Told::ServerLost { server } => self.core_by_hash(server),
             _ => 0,
         }
     }
 
-    /// The core that listens to a server.
-    fn core_of(&self, name: &str) -> usize {
+    /// The core that handles a server (its notes and probes) or an event of a viewing, by a hash of the name.
+    fn core_by_hash(&self, name: &str) -> usize {
         let sum = name.bytes().fold(0u64, |sum, byte| (sum * 31 + u64::from(byte)) % 65_521);
         sum as usize % self.cores.len()
     }
 
-    fn home(&self, vw: &ViewingId) -> usize {
-        self.homes.borrow().get(vw).copied().unwrap_or(0)
+    fn core_of_viewing(&self, viewing: &ViewingId) -> usize {
+        self.core_by_viewing.borrow().get(viewing).copied().unwrap_or(0)
     }
 
-    /// Settles which core does a viewing's errands from now on.
-    fn settle_at(&self, vw: &ViewingId, ask: Option<AskId>) {
-        let asker = ask.map_or(0, |it| it.0 as usize % self.cores.len());
+    /// Chooses the core that sends a viewing's commands, unless one is chosen already.
+    fn assign_core(&self, viewing: &ViewingId, ask: Option<AskId>) {
+        let requesting_core = ask.map_or(0, |ask| ask.0 as usize % self.cores.len());
         let mut room = self.room.borrow_mut();
         room.look(self.clock.now(), slept().as_secs_f64() * 1e3);
-        let core = room.home(asker);
-        self.homes.borrow_mut().entry(vw.clone()).or_insert(core);
+        let core = room.home(requesting_core);
+        self.core_by_viewing.borrow_mut().entry(viewing.clone()).or_insert(core);
     }
 
-    /// Homes of viewings that are over are forgotten once there are many.
-    pub fn sweep(&self) {
-        let mut homes = self.homes.borrow_mut();
-        if homes.len() >= self.sweep_homes_at.get() {
+    /// Forgets the cores of viewings that have ended, once there are many entries.
+    fn clean_up_assignments(&self) {
+        let mut assignments = self.core_by_viewing.borrow_mut();
+        if assignments.len() >= self.cleanup_at.get() {
             let front = self.front.borrow();
-            homes.retain(|vw, _| front.holds(vw));
-            self.sweep_homes_at.set((homes.len() * 2).max(1024));
+            assignments.retain(|viewing, _| front.holds(viewing));
+            self.cleanup_at.set((assignments.len() * 2).max(MIN_ASSIGNMENTS_BEFORE_CLEANUP));
         }
     }
 
-    fn send(&self, core: usize, errand: Errand) {
-        if !self.cores[core].errands.put(errand) {
-            warn!(core, "a core stands still; an end is left to the server's lease");
+    fn send(&self, core: usize, command: CoreCommand) {
+        if !self.cores[core].commands.push(command) {
+            warn!(
+                core,
+                "command queue of a core is full; dropped an end or probe (servers end viewings by lease)"
+            );
         }
     }
 }
--- a/daemon/src/owner/record.rs
+++ b/daemon/src/owner/record.rs
@@ -1,31 +1,34 @@
-//! The record of a manager, a line for each thing told.
+//! The record of a manager: one line for each event that the front handled, for `ottersail replay`.
 
 use ottersail_front::tape::Told;
 use std::fs::File;
 use std::io::{BufWriter, Write};
+use std::path::Path;
 
-/// Where all that is told and wanted is written down.
-pub struct Tape(BufWriter<File>);
+/// Writes events of the front, and what the front asked for, to a file.
+pub struct EventRecorder(BufWriter<File>);
 
-impl Tape {
+impl EventRecorder {
+    /// Creates the file and writes its header line.
+    ///
     /// # Errors
-    /// If the file can't be made.
-    pub fn begin(path: &std::path::Path, header: &serde_json::Value) -> std::io::Result<Tape> {
-        let mut tape = Tape(BufWriter::new(File::create(path)?));
-        writeln!(tape.0, "{header}")?;
-        tape.0.flush()?;
-        Ok(tape)
+    /// If the file can't be created or written.
+    pub fn create(path: &Path, header: &serde_json::Value) -> std::io::Result<EventRecorder> {
+        let mut recorder = EventRecorder(BufWriter::new(File::create(path)?));
+        writeln!(recorder.0, "{header}")?;
+        recorder.0.flush()?;
+        Ok(recorder)
     }
 
-    /// `core` is the one that saw it.
-    pub(super) fn line(
+    /// Appends an event at `at` (milliseconds since 1970), seen by `core`, and what the front asked for.
+    pub(super) fn append(
         &mut self,
         at: f64,
         core: usize,
-        told: &Told,
-        wanted: &[String],
+        event: &Told,
+        orders: &[String],
     ) -> std::io::Result<()> {
-        let line = serde_json::json!({ "at": at, "core": core, "told": told, "wanted": wanted });
+        let line = serde_json::json!({ "at": at, "core": core, "told": event, "wanted": orders });
         writeln!(self.0, "{line}")?;
         self.0.flush()
     }
--- a/daemon/src/rehearse.rs
+++ b/daemon/src/rehearse.rs
@@ -1,23 +1,23 @@
 //! `ottersail rehearse`: a day on loopback. The managers are processes of their own, so that they can be
 //! killed and stopped as such; servers, list and players run in here.
 
-mod asked;
 mod beliefs;
 mod costs;
 mod error;
 mod files;
 mod gossip;
+mod options;
 mod play;
 mod stage;
 mod steps;
 
 use crate::settings::day::load_day;
-pub use asked::Rehearsal;
 use async_signal::Signals;
 use error::at;
 pub use error::{RehearseError, UncleanExit};
 use files::bears;
 use futures_lite::StreamExt;
+pub use options::RehearsalOptions;
 use ottersail_invariants::Verdict;
 use ottersail_net::block_on;
 use play::play;
@@ -33,28 +33,28 @@
 ///
 /// # Errors
 /// What kept it from being played; a broken rule is no error but a verdict.
-pub fn rehearse(asked: &Rehearsal) -> Result<Verdict, RehearseError> {
-    let mut plan = load_day(&asked.day)?;
-    if let Some(seed) = asked.seed {
+pub fn rehearse(options: &RehearsalOptions) -> Result<Verdict, RehearseError> {
+    let mut plan = load_day(&options.day)?;
+    if let Some(seed) = options.seed {
         plan.day.seed = seed;
     }
-    if let Some(managers) = asked.managers.filter(|it| *it > 0) {
+    if let Some(managers) = options.managers.filter(|it| *it > 0) {
         (plan.day.managers, plan.terms.managers) = (managers, managers as f64);
     }
-    plan.pick = asked.pick.unwrap_or(plan.pick);
-    plan.one_seed &= asked.pick.is_none();
+    plan.pick = options.pick.unwrap_or(plan.pick);
+    plan.one_seed &= options.pick.is_none();
     if plan.day.managers > MOST_MANAGERS {
-        return Err(RehearseError::TooManyManagers { day: asked.day.clone(), max: MOST_MANAGERS });
+        return Err(RehearseError::TooManyManagers { day: options.day.clone(), max: MOST_MANAGERS });
     }
-    bears(&asked.day, &plan)?;
+    bears(&options.day, &plan)?;
     sweep();
     let folder = std::env::temp_dir().join(format!("{RUNNING}{}", std::process::id()));
     fs::create_dir_all(&folder).map_err(at(&folder))?;
     let interrupted = watch_signals()?;
-    let played = play(&plan, asked, &folder, &interrupted);
+    let played = play(&plan, options, &folder, &interrupted);
     let holds = played.as_ref().is_ok_and(Verdict::holds);
     let kept = std::env::temp_dir().join(format!("ottersail-kept-{}", std::process::id()));
-    if interrupted.load(Ordering::Acquire) || (!asked.keep && holds) {
+    if interrupted.load(Ordering::Acquire) || (!options.keep && holds) {
         _ = fs::remove_dir_all(&folder);
     } else if fs::rename(&folder, &kept).is_ok() {
         eprintln!("the managers' files and logs are in {}", kept.display());
--- a/daemon/src/rehearse/beliefs.rs
+++ b/daemon/src/rehearse/beliefs.rs
@@ -1,4 +1,4 @@
-//! What managers believe of one another, asked of their figures from outside.
+//! What managers believe of one another, options of their figures from outside.
 
 use crate::settings::day::DayPlan;
 use ottersail_fake_servers::{FaultKind, Recorder};
--- a/daemon/src/rehearse/error.rs
+++ b/daemon/src/rehearse/error.rs
@@ -38,7 +38,7 @@
     Address { manager: usize, cause: io::Error },
     #[error("manager {manager}: {}: {cause}; give --beside a program that may be run", program.display())]
     Start { manager: usize, program: PathBuf, cause: String },
-    #[error("the manager at {address} was not ready within {timeout:?}; its log tells cause")]
+    #[error("the manager at {address} was not ready within {timeout:?}; its log tells why")]
     NotReady { address: SocketAddr, timeout: Duration },
     #[error("told to end: the day was not played to its end, and its managers are gone; play it again")]
     Interrupted,
@@ -51,9 +51,9 @@
 /// How a manager ended, or did not start, against what it was told.
 #[derive(Debug, Error)]
 pub enum UncleanExit {
-    #[error("manager {manager} ended with {status} when told to; its log tells cause")]
+    #[error("manager {manager} ended with {status} when told to; its log tells why")]
     Failed { manager: usize, status: ExitStatus },
-    #[error("manager {manager} did not end within {timeout:?} of SIGTERM; its log tells cause")]
+    #[error("manager {manager} did not end within {timeout:?} of SIGTERM; its log tells why")]
     TimedOut { manager: usize, timeout: Duration },
     #[error("manager {manager} did not start again: {cause}; raise the limit on processes (ulimit -u)")]
     RestartFailed { manager: usize, cause: String },
--- a/daemon/src/rehearse/asked.rs
+++ b/daemon/src/rehearse/options.rs
@@ -1,11 +1,11 @@
-//! What is asked of a rehearsal, and how long its parts may take.
+//! What is options of a rehearsal, and how long its parts may take.
 
 use ottersail_front::baseline::Pick;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What is asked of a rehearsal.
-pub struct Rehearsal {
+/// What is options of a rehearsal.
+pub struct RehearsalOptions {
     pub day: PathBuf,
     pub record: Option<PathBuf>,
     pub traffic: Option<PathBuf>,
--- a/daemon/src/rehearse/play.rs
+++ b/daemon/src/rehearse/play.rs
@@ -1,10 +1,10 @@
 //! A day, played: the stand-ins in here, the managers beside, and what the players had of them.
 
-use super::asked::{Rehearsal, ENDS, PLAY_OUT, START};
 use super::beliefs::{ask, follow};
 use super::costs::{rest, spent};
 use super::error::{at, RehearseError};
 use super::gossip::Gossip;
+use super::options::{RehearsalOptions, ENDS, PLAY_OUT, START};
 use super::stage::{gather, own_address, wait_end, wait_ready, Manager, Stage};
 use super::steps::trouble;
 use crate::judge::judge_traffic;
@@ -31,12 +31,12 @@
 
 pub(super) fn play(
     plan: &DayPlan,
-    asked: &Rehearsal,
+    options: &RehearsalOptions,
     folder: &Path,
     interrupted: &AtomicBool,
 ) -> Result<Verdict, RehearseError> {
     let clock = Clock::start();
-    let traffic = asked.traffic.clone().unwrap_or_else(|| folder.join("traffic.jsonl"));
+    let traffic = options.traffic.clone().unwrap_or_else(|| folder.join("traffic.jsonl"));
     let recorder = Recorder::begin(&traffic, clock, plan.judge_terms());
     let recorder = recorder.map_err(|it| unwritten(&traffic, it.to_string()))?;
     let secret = |_| format!("{:032x}", fastrand::u128(..));
@@ -46,19 +46,19 @@
     let keys = Keys::read(&keys_text).map_err(|it| RehearseError::Keys { file, cause: it.to_string() })?;
     let (go, going) = async_channel::bounded(1);
     let fleet = run_fleet(&plan.day, &recorder, &keys, going)
-        .map_err(|it| RehearseError::StartServers { day: asked.day.clone(), cause: it.to_string() })?;
+        .map_err(|it| RehearseError::StartServers { day: options.day.clone(), cause: it.to_string() })?;
 
     let stall = plan.day.faults.iter().find(|it| it.kind == FaultKind::CoreStall);
     let stage = Stage {
         folder: folder.to_path_buf(),
         program: std::env::current_exe().map_err(at("/proc/self/exe"))?,
-        recording: asked.record.is_some(),
-        log: asked.log.clone(),
+        recording: options.record.is_some(),
+        log: options.log.clone(),
         seed: plan.day.seed,
-        beside: asked.beside.clone(),
+        beside: options.beside.clone(),
         pick: plan.pick,
         one_seed: plan.one_seed,
-        stall: stall.map(|it| (asked.cores - 1, (it.size * 1e3) as u64)),
+        stall: stall.map(|it| (options.cores - 1, (it.size * 1e3) as u64)),
     };
     let zones: Vec<String> =
         (0..plan.day.managers).map(|it| plan.day.zones[it % plan.day.zones.len()].clone()).collect();
@@ -81,7 +81,7 @@
             grace: plan.drain_grace,
             list_wait: Ms(2_000.0),
             silence: Ms(3_000.0),
-            cores: asked.cores,
+            cores: options.cores,
             members: members.as_ref(),
             council: None,
             releases: None,
@@ -144,12 +144,12 @@
     if !unclean.is_empty() {
         return Err(RehearseError::UncleanExits { exits: unclean });
     }
-    if let Some(record) = &asked.record {
+    if let Some(record) = &options.record {
         gather(&stage, &managers, record)?;
         let file = format!("{}.keys", record.display());
         fs::write(&file, &keys_text).map_err(at(file))?;
     }
-    Ok(judge_traffic(&traffic, asked.report.as_deref())?)
+    Ok(judge_traffic(&traffic, options.report.as_deref())?)
 }
 
 /// A manager takes datagrams at its own address, as it does connections.
--- a/daemon/src/rehearse/steps.rs
+++ b/daemon/src/rehearse/steps.rs
@@ -1,7 +1,7 @@
 //! What is done to managers while a day is played.
 
-use super::asked::ENDS;
 use super::error::UncleanExit;
+use super::options::ENDS;
 use super::stage::{is_ready, Manager, Stage};
 use crate::settings::day::DayPlan;
 use ottersail_fake_servers::{Fault, FaultKind, Recorder};
--- a/daemon/src/replay.rs
+++ b/daemon/src/replay.rs
@@ -1,5 +1,5 @@
-//! `ottersail replay`: tells a front on a fake clock what a record says it was told, and compares what it
-//! wants.
+//! `ottersail replay`: passes the recorded events of a manager to a front with a fake clock, and compares what
+//! the front asks for with what is recorded.
 
 use crate::error::ReplayError;
 use crate::run::{front_settings, DiscardOutput};
@@ -13,63 +13,80 @@
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
 
+/// How the header line of a manager starts.
+const HEADER_START: &str = "{\"begins\"";
+
+/// The first line of a manager's record.
 #[derive(Deserialize)]
 struct Header {
-    begins: f64,
+    /// When the manager started, in milliseconds since 1970.
+    #[serde(rename = "begins")]
+    start_ms: f64,
     seed: u64,
+    /// Path of the settings file.
     file: String,
+    /// Text of the settings file.
     settings: String,
 }
 
+/// One event, and what the front asked for.
 #[derive(Deserialize)]
-struct Step {
+struct RecordedEvent {
+    /// Time of the event, in milliseconds since 1970.
     at: f64,
-    told: Told,
-    wanted: Vec<String>,
+    #[serde(rename = "told")]
+    event: Told,
+    #[serde(rename = "wanted")]
+    orders: Vec<String>,
 }
 
-/// What came of it.
+/// Counts of a successful replay.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Replayed {
+pub struct ReplaySummary {
+    /// Managers' fronts that were replayed.
     pub fronts: usize,
-    pub told: usize,
-    pub wanted: usize,
-    /// Lines cut off by a kill.
-    pub torn: usize,
+    /// Events that were passed to fronts.
+    pub events: usize,
+    /// Commands and replies that the fronts asked for.
+    pub orders: usize,
+    /// Lines that are incomplete because the manager was killed while it wrote them.
+    pub torn_lines: usize,
 }
 
-impl fmt::Display for Replayed {
+impl fmt::Display for ReplaySummary {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Replayed { fronts, told, wanted, torn } = self;
-        write!(f, "{fronts} fronts were told {told} things and wanted the same {wanted}; {torn} torn lines")
+        let ReplaySummary { fronts, events, orders, torn_lines } = self;
+        write!(f, "replayed {fronts} fronts with {events} events: all {orders} orders equal; ")?;
+        write!(f, "{torn_lines} torn lines")
     }
 }
 
-/// Plays a record back.
+/// Replays a record.
 ///
 /// # Errors
-/// The first line at which the library wants something else, or what can't be read.
-pub fn replay(path: &Path, keys: Option<PathBuf>) -> Result<Replayed, ReplayError> {
+/// If the record or the keys can't be read, or at the first event for which the front asks for something
+/// else than recorded.
+pub fn replay(path: &Path, keys: Option<PathBuf>) -> Result<ReplaySummary, ReplayError> {
     let file = || path.to_path_buf();
-    let unread = |cause| ReplayError::Unreadable { file: file(), cause };
-    let open = File::open(path).map_err(unread)?;
-    let beside = PathBuf::from(format!("{}.keys", path.display()));
-    let keys = keys.or_else(|| beside.exists().then_some(beside));
+    let unreadable = |cause| ReplayError::Unreadable { file: file(), cause };
+    let record = File::open(path).map_err(unreadable)?;
+    let default_keys = PathBuf::from(format!("{}.keys", path.display()));
+    let keys = keys.or_else(|| default_keys.exists().then_some(default_keys));
     let mut front: Option<Front> = None;
-    let mut done = Replayed::default();
-    let lines: Vec<String> = BufReader::new(open).lines().collect::<Result<_, _>>().map_err(unread)?;
-    for (no, text) in lines.iter().enumerate() {
-        let line = no + 1;
+    let mut summary = ReplaySummary::default();
+    let lines: Vec<String> = BufReader::new(record).lines().collect::<Result<_, _>>().map_err(unreadable)?;
+    for (index, text) in lines.iter().enumerate() {
+        let line = index + 1;
         if let Ok(header) = serde_json::from_str::<Header>(text) {
-            front = Some(begin(&header, keys.as_deref(), (path, line))?);
-            done.fronts += 1;
+            front = Some(start_front(&header, keys.as_deref(), path, line)?);
+            summary.fronts += 1;
             continue;
         }
-        let step = match serde_json::from_str::<Step>(text) {
-            Ok(step) => step,
-            // A killed manager leaves half a line, and the next begins anew.
-            Err(_) if lines.get(line).is_none_or(|it| it.starts_with("{\"begins\"")) => {
-                done.torn += 1;
+        let recorded = match serde_json::from_str::<RecordedEvent>(text) {
+            Ok(recorded) => recorded,
+            // A killed manager leaves an incomplete line, and the next line, if any, is a new header.
+            Err(_) if lines.get(line).is_none_or(|next| next.starts_with(HEADER_START)) => {
+                summary.torn_lines += 1;
                 continue;
             }
             Err(cause) => return Err(ReplayError::InvalidLine { file: file(), line, cause }),
@@ -77,35 +94,39 @@
         let Some(front) = front.as_mut() else {
             return Err(ReplayError::MissingHeader { file: file(), line });
         };
-        let mut wanted = Vec::new();
-        step.told.tell(front, Ms(step.at), &mut Scribe { lines: &mut wanted, out: None });
-        if wanted != step.wanted {
-            let pair = wanted.iter().zip(&step.wanted).find(|it| it.0 != it.1);
-            let (actual, recorded) = pair
-                .map_or((wanted.len().to_string(), step.wanted.len().to_string()), |it| {
-                    (it.0.clone(), it.1.clone())
-                });
+        let mut orders = Vec::new();
+        recorded.event.tell(front, Ms(recorded.at), &mut Scribe { lines: &mut orders, out: None });
+        if orders != recorded.orders {
+            let (actual, recorded) = first_difference(&orders, &recorded.orders);
             return Err(ReplayError::Mismatch { file: file(), line, actual, recorded });
         }
-        done.told += 1;
-        done.wanted += wanted.len();
+        summary.events += 1;
+        summary.orders += orders.len();
     }
-    if done.told == 0 {
+    if summary.events == 0 {
         return Err(ReplayError::Empty { file: file() });
     }
-    Ok(done)
+    Ok(summary)
+}
+
+/// The first pair of orders that differ, or the numbers of orders if one list is the start of the other.
+fn first_difference(actual: &[String], recorded: &[String]) -> (String, String) {
+    let pair = actual.iter().zip(recorded).find(|(actual, recorded)| actual != recorded);
+    pair.map_or((actual.len().to_string(), recorded.len().to_string()), |(actual, recorded)| {
+        (actual.clone(), recorded.clone())
+    })
 }
 
-fn begin(header: &Header, keys: Option<&Path>, (path, line): (&Path, usize)) -> Result<Front, ReplayError> {
+fn start_front(header: &Header, keys: Option<&Path>, path: &Path, line: usize) -> Result<Front, ReplayError> {
     let file = || path.to_path_buf();
     let manager = parse_manager(Path::new(&header.file), &header.settings)
         .map_err(|cause| ReplayError::Settings { file: file(), line, cause })?;
     let keys = keys.unwrap_or(&manager.keys);
-    let wrong = |cause: String| ReplayError::Keys { file: file(), line, keys: keys.to_path_buf(), cause };
-    let text = std::fs::read_to_string(keys).map_err(|it| wrong(it.to_string()))?;
-    let keys = Keys::read(&text).map_err(|it| wrong(it.to_string()))?;
+    let failed = |cause: String| ReplayError::Keys { file: file(), line, keys: keys.to_path_buf(), cause };
+    let text = std::fs::read_to_string(keys).map_err(|error| failed(error.to_string()))?;
+    let keys = Keys::read(&text).map_err(|error| failed(error.to_string()))?;
     Ok(Front::new(
-        Ms(header.begins),
+        Ms(header.start_ms),
         header.seed,
         manager.terms.clone(),
         front_settings(&manager, keys),
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -1,18 +1,19 @@
-//! `ottersail run`: one manager, until it is told to end.
+//! `ottersail run`: runs one manager until it is told to end.
 
 mod discard_output;
 mod process;
-mod release;
+mod releases;
+mod reload;
 mod start;
 
 use crate::error::RunError;
 use crate::fleet::{self, Fleet};
-use crate::owner::Tape;
-use crate::post::Errand;
+use crate::messages::CoreCommand;
+use crate::owner::{EventRecorder, PlacementOwner};
 use crate::settings::load;
 use crate::settings::manager::{parse_manager, ManagerSettings};
 use crate::settings::members::Members;
-use async_signal::{Signal as Heard, Signals};
+use async_signal::{Signal, Signals};
 pub use discard_output::DiscardOutput;
 use futures_lite::StreamExt;
 use ottersail_front::baseline::{Baseline, Pick};
@@ -24,43 +25,56 @@
 use ottersail_signed_urls::Keys;
 use process::end_with_parent;
 pub use process::raise_open_file_limit;
+use reload::reload;
 use serde_json::json;
-pub use start::{start, Running};
+pub use start::{start, RunningManager};
 use std::path::{Path, PathBuf};
-use std::sync::Arc;
+use std::rc::Rc;
 use std::time::Duration;
 use tracing::{error, info, warn};
 
-/// A drain ends by then, should a request be stuck: no patience is longer.
-const LONGEST_DRAIN: Duration = Duration::from_secs(130);
-/// What was answered last goes out in that time.
-const LAST_WORDS: Duration = Duration::from_millis(100);
+/// A drain ends after this time even if a request is stuck. It is longer than any request's patience.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(130);
+/// Time for the last answers to be written before the process exits.
+const FLUSH_TIME: Duration = Duration::from_millis(100);
+/// How often a drain checks whether requests are still waiting.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Reads a settings file and its keys.
+/// A manager's settings as read from its files.
+pub struct LoadedSettings {
+    /// The text of the settings file.
+    pub text: String,
+    pub manager: ManagerSettings,
+    /// The keys that sign playlist addresses.
+    pub keys: Keys,
+}
+
+/// Reads a settings file and the keys that it names.
 ///
 /// # Errors
-/// If one of them can't be read, or all that is wrong with the settings.
-pub fn read(path: &Path) -> Result<(String, ManagerSettings, Keys), RunError> {
+/// If one of the files can't be read, or with all problems of the settings.
+pub fn load_settings(path: &Path) -> Result<LoadedSettings, RunError> {
     let text = load(path)?;
     let manager = parse_manager(path, &text)?;
-    let wrong = |cause: String| RunError::Keys { file: manager.keys.clone(), cause };
-    let keys = std::fs::read_to_string(&manager.keys).map_err(|it| wrong(it.to_string()))?;
-    let keys = Keys::read(&keys).map_err(|it| wrong(it.to_string()))?;
+    let failed = |cause: String| RunError::Keys { file: manager.keys.clone(), cause };
+    let keys = std::fs::read_to_string(&manager.keys).map_err(|error| failed(error.to_string()))?;
+    let keys = Keys::read(&keys).map_err(|error| failed(error.to_string()))?;
     manager.members.as_ref().map(load_member_keys).transpose()?;
     fleet::terms(&manager, Life(0))?;
-    Ok((text, manager, keys))
+    Ok(LoadedSettings { text, manager, keys })
 }
 
-/// The keys that members sign with.
+/// Reads the keys that members sign their datagrams with.
 ///
 /// # Errors
-/// If the file can't be read, or holds no keys.
+/// If the file can't be read or has no keys.
 pub fn load_member_keys(members: &Members) -> Result<Keys, RunError> {
-    let wrong = |cause: String| RunError::MemberKeys { file: members.keys.clone(), cause };
-    let text = std::fs::read_to_string(&members.keys).map_err(|it| wrong(it.to_string()))?;
-    Keys::read(&text).map_err(|it| wrong(it.to_string()))
+    let failed = |cause: String| RunError::MemberKeys { file: members.keys.clone(), cause };
+    let text = std::fs::read_to_string(&members.keys).map_err(|error| failed(error.to_string()))?;
+    Keys::read(&text).map_err(|error| failed(error.to_string()))
 }
 
+/// The front's part of a manager's settings.
 pub fn front_settings(manager: &ManagerSettings, keys: Keys) -> House {
     House {
         url: manager.url.clone(),
@@ -73,161 +87,145 @@
     }
 }
 
-/// What is asked of a manager on the command line.
+/// The command line options of `ottersail run`.
 #[derive(Default)]
-pub struct Asked {
+pub struct RunOptions {
+    /// File that all events are recorded to.
     pub record: Option<PathBuf>,
+    /// Seed of the random draws; random if absent.
     pub seed: Option<u64>,
-    pub stall: Option<(usize, u64)>,
+    /// For tests: the core to stall on SIGUSR1.
+    pub stall: Option<Stall>,
+    /// Whether the process is killed when its parent ends.
     pub with_parent: bool,
+    /// A baseline policy in place of the usual decisions, for comparison.
     pub pick: Option<Pick>,
 }
 
+/// For tests: blocks a core's thread.
+#[derive(Clone, Copy, Debug)]
+pub struct Stall {
+    /// Index of the core.
+    pub core: usize,
+    /// How long its thread is blocked, in milliseconds.
+    pub ms: u64,
+}
+
 /// Why a manager ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
-    /// By a signal.
-    Told,
-    /// By a permit: to be started again with the version that the file `next` names.
-    Released,
+pub enum ExitReason {
+    /// It received SIGTERM or SIGINT.
+    Signal,
+    /// It used a permit of a release, and is to be started again with the version that the file `next` names.
+    Release,
 }
 
-/// Runs a manager; comes back after SIGTERM or SIGINT, once all that was taken has its answer.
+/// Runs a manager. Returns after SIGTERM, SIGINT or a release, once all accepted requests are answered.
 ///
 /// # Errors
-/// What keeps it from starting.
-pub fn run(path: PathBuf, asked: Asked) -> Result<Ended, RunError> {
-    let Asked { record, seed, stall, with_parent, pick } = asked;
+/// If the manager can't be started, or can't write the version to start next.
+pub fn run(path: PathBuf, options: RunOptions) -> Result<ExitReason, RunError> {
+    let RunOptions { record, seed, stall, with_parent, pick } = options;
     if with_parent {
         end_with_parent()?;
     }
-    let (text, manager, keys) = read(&path)?;
+    let LoadedSettings { text, manager, keys } = load_settings(&path)?;
     let clock = Clock::start();
     let seed = seed.unwrap_or_else(|| fastrand::u64(..));
     let now = Ms(clock.now());
-    let (terms, home) = (manager.terms.clone(), front_settings(&manager, keys.clone()));
+    let (terms, settings) = (manager.terms.clone(), front_settings(&manager, keys.clone()));
     let front = match pick {
-        None => Front::new(now, seed, terms, home, &mut DiscardOutput),
+        None => Front::new(now, seed, terms, settings, &mut DiscardOutput),
         Some(pick) => {
-            warn!(?pick, "picks plainly, for comparison: it keeps no rules but floors");
-            let plain = move |terms, _: &mut dyn Answers| -> Box<dyn Decisions> {
+            warn!(?pick, "using a baseline policy, for comparison: of all rules it keeps only floors");
+            let baseline = move |terms, _: &mut dyn Answers| -> Box<dyn Decisions> {
                 Box::new(Baseline::new(terms, pick, seed))
             };
-            Front::with(now, terms, home, &mut DiscardOutput, plain)
+            Front::with(now, terms, settings, &mut DiscardOutput, baseline)
         }
     };
     let header =
         json!({ "begins": now.0, "seed": seed, "file": path.display().to_string(), "settings": text });
-    let begin = |file: PathBuf| Tape::begin(&file, &header).map_err(|cause| RunError::Record { file, cause });
-    let tape = record.map(begin).transpose()?;
+    let create_record = |file: PathBuf| {
+        EventRecorder::create(&file, &header).map_err(|cause| RunError::Record { file, cause })
+    };
+    let recorder = record.map(create_record).transpose()?;
     raise_open_file_limit(manager.connections);
     let exec = executor();
-    let running = start(exec, clock, &manager, keys, front, tape)?;
+    let running = start(exec, clock, &manager, keys, front, recorder)?;
     let owner = running.owner.clone();
     if let Some(fleet) = Fleet::start(exec, seed, &manager, &owner)? {
         _ = owner.fleet.set(fleet);
-        release::read_orders(&manager, &owner);
+        releases::read_orders(&manager, &owner);
     }
     let (listen, cores) = (&manager.listen, manager.cores);
     info!(listen, cores, managers = manager.terms.managers, number = manager.terms.me.0, "running");
 
     block_on(exec.run(async {
-        let mut signals = Signals::new([Heard::Term, Heard::Int, Heard::Hup, Heard::Usr1])
+        let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup, Signal::Usr1])
             .map_err(|cause| RunError::Signals { cause })?;
-        let mut told = async || {
+        let mut wait_for_signal = async || {
             while let Some(signal) = signals.next().await {
                 match signal {
-                    Ok(Heard::Hup) => reload(&path, &manager, &running),
-                    Ok(Heard::Usr1) => stand_still(&running, stall),
+                    Ok(Signal::Hup) => reload(&path, &manager, &running),
+                    Ok(Signal::Usr1) => stall_core(&running, stall),
                     Ok(_) => break,
-                    Err(trouble) => warn!(%trouble, "signal"),
+                    Err(error) => warn!(%error, "cannot receive a signal"),
                 }
             }
             None
         };
-        let released = futures_lite::future::or(told(), release::goes_out(&owner)).await;
-        if let (Some(_), Some(it)) = (&released, &manager.releases) {
-            futures_lite::future::or(told(), release::play_out(&owner, it.play_out)).await;
+        let next_version =
+            futures_lite::future::or(wait_for_signal(), releases::wait_for_permit(&owner)).await;
+        if let (Some(_), Some(releases)) = (&next_version, &manager.releases) {
+            let viewings_ended = releases::wait_for_viewings(&owner, releases.play_out);
+            futures_lite::future::or(wait_for_signal(), viewings_ended).await;
         }
-        owner.handle(&Told::Drain);
-        // Takes no longer than what was answered last takes anyway: nobody waits for the council.
-        let left = async {
-            if let Some(fleet) = owner.fleet.get() {
-                fleet.leave(LAST_WORDS).await;
-            }
-        };
-        let done = async {
-            while owner.with_front(|it| it.waiting()) > 0 {
-                Timer::after(Duration::from_millis(10)).await;
-            }
-            // What was answered last still has to go out.
-            Timer::after(LAST_WORDS).await;
-        };
-        futures_lite::future::or(
-            async {
-                futures_lite::future::zip(left, done).await;
-            },
-            async {
-                Timer::after(LONGEST_DRAIN).await;
-                error!("requests were left unanswered at the end of the drain");
-            },
-        )
-        .await;
+        drain(&owner).await;
         info!("ended");
-        match (released, &manager.releases) {
-            (Some(version), Some(it)) => release::write_next(&it.next, &version).map(|()| Ended::Released),
-            _ => Ok(Ended::Told),
+        match (next_version, &manager.releases) {
+            (Some(version), Some(releases)) => {
+                releases::write_next_version(&releases.next, &version).map(|()| ExitReason::Release)
+            }
+            _ => Ok(ExitReason::Signal),
         }
     }))
 }
 
-/// For tests: a core really stands still.
-fn stand_still(running: &Running, stall: Option<(usize, u64)>) {
-    match stall {
-        Some((core, ms)) if core < running.shared.cores.len() => {
-            warn!(core, ms, "standing still, as asked on the command line");
-            _ = running.shared.cores[core].errands.put(Errand::StandStill { ms });
+/// Accepts no more requests, leaves the fleet, and waits until all waiting requests are answered.
+async fn drain(owner: &Rc<PlacementOwner>) {
+    owner.handle(&Told::Drain);
+    // Limited to the time that writing the last answers takes anyway: the drain does not wait for the council.
+    let left_fleet = async {
+        if let Some(fleet) = owner.fleet.get() {
+            fleet.leave(FLUSH_TIME).await;
         }
-        _ => warn!("SIGUSR1 does nothing without --stall CORE:MS"),
-    }
-}
-
-/// Members' keys follow one another as players' do; all else of them changes with a restart.
-fn rekey(next: &ManagerSettings, running: &Running) {
-    let (Some(fleet), Some(told)) = (running.owner.fleet.get(), &next.members) else {
-        return;
     };
-    match load_member_keys(told) {
-        Ok(keys) => fleet.rekey(&keys),
-        Err(trouble) => error!(%trouble, "the members' keys were not taken over"),
-    }
+    let requests_answered = async {
+        while owner.with_front(|front| front.waiting()) > 0 {
+            Timer::after(DRAIN_CHECK_INTERVAL).await;
+        }
+        Timer::after(FLUSH_TIME).await;
+    };
+    futures_lite::future::or(
+        async {
+            futures_lite::future::zip(left_fleet, requests_answered).await;
+        },
+        async {
+            Timer::after(DRAIN_TIMEOUT).await;
+            error!("drain timed out with unanswered requests");
+        },
+    )
+    .await;
 }
 
-/// Takes over what can change while it runs; a file with a mistake changes nothing.
-fn reload(path: &Path, manager: &ManagerSettings, running: &Running) {
-    match read(path) {
-        Err(trouble) => {
-            for problem in trouble.to_string().lines() {
-                error!(problem, "the settings were not taken over");
-            }
-        }
-        Ok((_, next, keys)) => {
-            let same = format!("{:?}", next.terms) == format!("{:?}", manager.terms);
-            let others =
-                next.members.is_some() == manager.members.is_some() && next.releases == manager.releases;
-            if !same || !others || next.listen != manager.listen || next.cores != manager.cores {
-                warn!(
-                    "cores, ladder, rules, packages, tenants, list, members, releases and addresses change \
-                     with a restart only"
-                );
-            }
-            rekey(&next, running);
-            // Its keys are not in the record, and what they sign is.
-            release::read_orders(&next, &running.owner);
-            running.owner.end_tape();
-            running.owner.with_front(|it| it.refit(front_settings(&next, keys.clone())));
-            running.shared.keys.store(Arc::new(keys));
-            info!("settings taken over");
+/// For tests: blocks a core's thread for the time given on the command line.
+fn stall_core(running: &RunningManager, stall: Option<Stall>) {
+    match stall {
+        Some(Stall { core, ms }) if core < running.shared.cores.len() => {
+            warn!(core, ms, "stalling a core, as asked on the command line");
+            _ = running.shared.cores[core].commands.push(CoreCommand::Stall { ms });
         }
+        _ => warn!("SIGUSR1 does nothing without --stall CORE:MS"),
     }
 }
--- a/daemon/src/run/discard_output.rs
+++ b/daemon/src/run/discard_output.rs
@@ -1,9 +1,9 @@
-//! A front's wishes where there can be none.
+//! An output for a front that has nothing to send yet.
 
 use ottersail_front::ids::{Rung, ServerId, ViewingId};
 use ottersail_front::{AskId, Orders, Reply, SetUp};
 
-/// Wishes before anything has happened: there are none.
+/// Discards what the front asks for. A front asks for nothing before its first event.
 pub struct DiscardOutput;
 
 impl Orders for DiscardOutput {
--- a/daemon/src/run/start.rs
+++ b/daemon/src/run/start.rs
@@ -1,13 +1,13 @@
-//! Starts a manager: the owner of placement, its cores, and who hands them the connections.
+//! Starts a manager: the placement owner, its cores, and the task that accepts connections.
 
 use crate::error::RunError;
-use crate::metrics::Times;
-use crate::owner::{PlacementOwner, Tape};
-use crate::post::{Core, MOST_NEWS};
-use crate::rescue;
+use crate::messages::{CoreState, OWNER_QUEUE_CAPACITY};
+use crate::metrics::Latencies;
+use crate::owner::{EventRecorder, PlacementOwner};
 use crate::service::Service;
 use crate::settings::manager::ManagerSettings;
-use crate::worker::{Shared, Worker};
+use crate::stalled_cores;
+use crate::worker::{Catalogue, Shared, Worker};
 use arc_swap::ArcSwap;
 use async_channel::Receiver;
 use ottersail_cores::Spread;
@@ -23,107 +23,111 @@
 use std::time::Duration;
 use tracing::error;
 
-/// Connections that were accepted and wait for a core; one more is answered 503.
-const MOST_ARRIVING: usize = 1_024;
-const HEAD: Duration = Duration::from_secs(15);
+/// Accepted connections that may wait for one core. A connection beyond that is answered with 503.
+const MAX_WAITING_CONNECTIONS: usize = 1_024;
+/// How long a client may take to send the head of a request.
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A manager that runs: the owner of placement on the calling thread, and what all cores share.
-pub struct Running {
+/// A running manager: the placement owner, which belongs to the calling thread, and the state that all cores
+/// share.
+pub struct RunningManager {
     pub owner: Rc<PlacementOwner>,
     pub shared: Arc<Shared>,
     pub server: Arc<Server>,
 }
 
-/// Starts all tasks of a manager: those of the owner and of the first core on the given executor, the other
-/// cores on threads of their own.
+/// Starts all tasks of a manager. Those of the owner and of the first core run on the given executor, those
+/// of the other cores on threads of their own.
 ///
 /// # Errors
-/// If its address can't be had.
+/// If the manager's address is invalid or in use, or a thread can't be started.
 pub fn start(
     exec: Exec,
     clock: Clock,
     manager: &ManagerSettings,
     keys: Keys,
     front: Front,
-    tape: Option<Tape>,
-) -> Result<Running, RunError> {
+    recorder: Option<EventRecorder>,
+) -> Result<RunningManager, RunError> {
     let address: SocketAddr = manager
         .listen
         .parse()
         .map_err(|cause| RunError::Address { address: manager.listen.clone(), cause })?;
     let listener = listen(address).map_err(|cause| RunError::Listen { address, cause })?;
-    let limits = Limits { connections: manager.connections, head: HEAD };
-    let (news, to_owner) = async_channel::bounded(MOST_NEWS);
-    let cores: Vec<Arc<Core>> = (0..manager.cores).map(|_| Arc::default()).collect();
-    cores.iter().for_each(|it| it.moves(clock.now()));
-    let times = Times::default();
+    let limits = Limits { connections: manager.connections, head: REQUEST_HEAD_TIMEOUT };
+    let (owner_queue, owner_messages) = async_channel::bounded(OWNER_QUEUE_CAPACITY);
+    let cores: Vec<Arc<CoreState>> = (0..manager.cores).map(|_| Arc::default()).collect();
+    cores.iter().for_each(|core| core.record_heartbeat(clock.now()));
+    let latencies = Latencies::default();
     let shared = Arc::new(Shared {
         clock,
-        reach: manager.into(),
+        settings: manager.into(),
         keys: ArcSwap::from_pointee(keys),
-        listed: AtomicBool::new(false),
-        titled: AtomicBool::new(false),
-        times: times.clone(),
+        has_servers: AtomicBool::new(false),
+        has_titles: AtomicBool::new(false),
+        latencies: latencies.clone(),
         cores: cores.clone(),
-        news,
+        owner_queue,
     });
     let server = Server::new();
-    let owner = PlacementOwner::new(clock, front, tape, cores, times, server.clone());
-    exec.spawn(owner.clone().listen(to_owner)).detach();
-    exec.spawn(owner.clone().ring()).detach();
-    let mut posts = Vec::new();
+    let owner = PlacementOwner::new(clock, front, recorder, cores, latencies, server.clone());
+    exec.spawn(owner.clone().process_messages(owner_messages)).detach();
+    exec.spawn(owner.clone().run_timers()).detach();
+    let mut core_inboxes = Vec::new();
     for index in 0..manager.cores {
-        let (post, incoming) = async_channel::bounded::<Accepted>(MOST_ARRIVING);
-        posts.push(post);
+        let (inbox, incoming) = async_channel::bounded::<Accepted>(MAX_WAITING_CONNECTIONS);
+        core_inboxes.push(inbox);
         let shared = shared.clone();
         if index == 0 {
-            let worker = work(exec, index, shared, incoming, limits);
-            exec.spawn(worker.clone().follow(true)).detach();
-            exec.spawn(worker.follow(false)).detach();
+            let worker = start_core(exec, index, shared, incoming, limits);
+            exec.spawn(worker.clone().poll(Catalogue::Servers)).detach();
+            exec.spawn(worker.poll(Catalogue::Titles)).detach();
         } else {
             let name = format!("core-{index}");
             let thread = std::thread::Builder::new().name(name).spawn(move || {
                 let exec = executor();
-                _ = work(exec, index, shared, incoming, limits);
+                _ = start_core(exec, index, shared, incoming, limits);
                 block_on(exec.run(std::future::pending::<()>()));
             });
             thread.map_err(|cause| RunError::Thread { name: format!("core-{index}"), cause })?;
         }
     }
-    let (spread, seen) = (Spread::new(manager.cores), shared.clone());
-    let hand_on = move |accepted: Accepted| {
-        let open: Vec<usize> = seen.cores.iter().map(|it| it.open.load(Ordering::Relaxed)).collect();
-        let now = seen.clock.now();
-        let still: Vec<bool> = seen.cores.iter().map(|it| it.is_still(now)).collect();
-        let core = spread.next(&open, &still);
-        seen.cores[core].open.fetch_add(1, Ordering::Relaxed);
-        posts[core].try_send(accepted).map_err(|it| {
-            seen.cores[core].open.fetch_sub(1, Ordering::Relaxed);
-            it.into_inner()
+    let (spread, dispatch_shared) = (Spread::new(manager.cores), shared.clone());
+    let dispatch = move |accepted: Accepted| {
+        let cores = &dispatch_shared.cores;
+        let open: Vec<usize> =
+            cores.iter().map(|core| core.open_connections.load(Ordering::Relaxed)).collect();
+        let now = dispatch_shared.clock.now();
+        let stalled: Vec<bool> = cores.iter().map(|core| core.is_stalled(now)).collect();
+        let index = spread.next(&open, &stalled);
+        cores[index].open_connections.fetch_add(1, Ordering::Relaxed);
+        core_inboxes[index].try_send(accepted).map_err(|error| {
+            cores[index].open_connections.fetch_sub(1, Ordering::Relaxed);
+            error.into_inner()
         })
     };
-    let served = server.clone();
+    let accept_server = server.clone();
     if manager.cores == 1 {
         let listener = Listener::new(listener).map_err(|cause| RunError::WatchListener { address, cause })?;
-        exec.spawn(accept(Nursery::new(exec), listener, limits, served, hand_on)).detach();
+        exec.spawn(accept(Nursery::new(exec), listener, limits, accept_server, dispatch)).detach();
     } else {
-        // No core's standstill holds up who comes new.
-        let accepting = move || {
+        // Connections are accepted on a thread of their own, so that no stalled core delays new ones.
+        let accept_connections = move || {
             let exec = executor();
             let Ok(listener) = Listener::new(listener) else {
-                error!("connections can't be accepted: the listener can't be watched");
+                error!("cannot accept connections: the listener cannot be registered for events");
                 return;
             };
-            block_on(exec.run(accept(Nursery::new(exec), listener, limits, served, hand_on)));
+            block_on(exec.run(accept(Nursery::new(exec), listener, limits, accept_server, dispatch)));
         };
-        let thread = std::thread::Builder::new().name("accept".into()).spawn(accepting);
+        let thread = std::thread::Builder::new().name("accept".into()).spawn(accept_connections);
         thread.map_err(|cause| RunError::Thread { name: "accept".into(), cause })?;
     }
-    Ok(Running { owner, shared, server })
+    Ok(RunningManager { owner, shared, server })
 }
 
-/// The tasks of one core.
-fn work(
+/// Starts the tasks of one core.
+fn start_core(
     exec: Exec,
     index: usize,
     shared: Arc<Shared>,
@@ -131,11 +135,11 @@
     limits: Limits,
 ) -> Rc<Worker> {
     let worker = Worker::new(exec, index, shared.clone());
-    exec.spawn(worker.clone().run_errands()).detach();
-    // Alone, a core has nobody to watch or to be watched by: at rest it is not woken for that.
+    exec.spawn(worker.clone().run_commands()).detach();
+    // A single core has no other core to watch, so it is not woken for that while it is idle.
     if shared.cores.len() > 1 {
-        exec.spawn(worker.clone().pulse()).detach();
-        exec.spawn(rescue::watch(shared.clone(), index)).detach();
+        exec.spawn(worker.clone().send_heartbeats()).detach();
+        exec.spawn(stalled_cores::watch(shared.clone(), index)).detach();
     }
     let service = Rc::new(Service { worker: worker.clone() });
     let nursery = Nursery::new(exec);
@@ -143,9 +147,9 @@
         while let Ok(accepted) = incoming.recv().await {
             let service = service.clone();
             let core = shared.cores[index].clone();
-            let handler = move |request, line| service.clone().answer(request, line);
+            let handler = move |request, connection| service.clone().answer(request, connection);
             serve_one(&nursery, accepted, limits, handler, move || {
-                core.open.fetch_sub(1, Ordering::Relaxed);
+                core.open_connections.fetch_sub(1, Ordering::Relaxed);
             });
         }
     })
--- a/daemon/src/settings/orders.rs
+++ b/daemon/src/settings/orders.rs
@@ -58,7 +58,7 @@
 }
 
 /// Whether a text is an orders' file, by its first heading.
-pub fn are_orders(text: &str) -> bool {
+pub fn is_orders_file(text: &str) -> bool {
     let mut lines = text.trim_start_matches('\u{feff}').lines();
     let first = lines.find(|it| it.starts_with('[')).unwrap_or_default();
     first.starts_with("[release ") || first.starts_with("[drain ")
--- a/daemon/src/settings/orders/tests.rs
+++ b/daemon/src/settings/orders/tests.rs
@@ -72,7 +72,7 @@
 fn what_is_written_is_read_again(text: String) {
     let first = read(&text).unwrap();
     assert_eq!(read(&write_orders(&first)).unwrap(), first);
-    assert!(first.release.is_some() && first.drain.is_some() && are_orders(&text));
+    assert!(first.release.is_some() && first.drain.is_some() && is_orders_file(&text));
 }
 
 #[test]
@@ -86,7 +86,7 @@
 #[test_case("\r\n\r\n; nothing yet\r\n"; "a remark alone")]
 fn a_file_that_orders_nothing_is_no_mistake(text: &str) {
     assert_eq!(read(text).unwrap(), Orders::default());
-    assert!(!are_orders(text));
+    assert!(!is_orders_file(text));
 }
 
 #[test_case("serial = 12\n", "", "2: [release spring] lacks serial; expected a whole"; "no serial")]
--- a/daemon/src/worker.rs
+++ b/daemon/src/worker.rs
@@ -1,19 +1,22 @@
-//! A core that holds connections: to players, to servers, to the list. What it sees it tells the owner.
+//! A core: a thread that holds connections to players, servers and the discovery service. It reports what
+//! happens on them to the placement owner and carries out the owner's commands.
 
-mod ask;
-mod list;
+mod discovery;
+mod requests;
 mod servers;
 mod shared;
 
-use crate::post::{Core, Errand, News};
+use crate::messages::{CoreCommand, CoreState, OwnerMessage};
 use async_executor::Task;
+pub use discovery::Catalogue;
 use hyper::{Method, Request, StatusCode};
 use ottersail_cores::vigil;
 use ottersail_front::tape::Told;
 use ottersail_front::PROBE_PATIENCE;
 use ottersail_net::{Body, Client, Exec, Timer};
 use ottersail_wire::report::{self, Report};
-pub use shared::{Reach, Shared};
+use servers::SetUpRequest;
+pub use shared::{Shared, WorkerSettings};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -21,45 +24,55 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A change of rung or an end may take so long.
-const ERRAND: Duration = Duration::from_secs(2);
-/// Connections kept to one server, and for how long; servers are to keep theirs longer.
-const KEEP: usize = 16;
-const KEEP_FOR: Duration = Duration::from_secs(8);
+/// Limit for a rung change, and for each attempt to end a viewing at its server.
+const END_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest body of an answer that holds no playlist.
+const MAX_RESPONSE_BYTES: usize = 4096;
+/// Idle connections kept open to one server.
+const MAX_IDLE_CONNECTIONS: usize = 16;
+/// How long an idle connection is kept. Servers must keep theirs longer.
+const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(8);
 
+/// The tasks and connections of one core.
 pub struct Worker {
     pub shared: Arc<Shared>,
     exec: Exec,
     index: usize,
-    core: Arc<Core>,
+    core: Arc<CoreState>,
     client: Client,
-    asks: Cell<u64>,
+    /// Number of requests passed to the owner so far, for their ids.
+    last_ask: Cell<u64>,
+    /// The set-up in flight of each viewing. Dropping its task resets its connection.
     set_ups: RefCell<BTreeMap<String, Task<()>>>,
-    streams: RefCell<BTreeMap<String, Task<()>>>,
-    partings: Cell<usize>,
+    /// The task that reads each server's notes.
+    note_streams: RefCell<BTreeMap<String, Task<()>>>,
+    ends_in_flight: Cell<usize>,
 }
 
-async fn within<T>(span: Duration, future: impl Future<Output = T>) -> Option<T> {
+/// The future's output, or `None` if it takes longer than `limit`.
+async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     futures_lite::future::or(async { Some(future.await) }, async {
-        Timer::after(span).await;
+        Timer::after(limit).await;
         None
     })
     .await
 }
 
 impl Worker {
+    /// Creates the worker of the core `index`, whose tasks run on `exec`.
     pub fn new(exec: Exec, index: usize, shared: Arc<Shared>) -> Rc<Worker> {
-        let connect = Duration::from_secs_f64(shared.reach.connect.0 / 1e3);
+        let connect_timeout = Duration::from_secs_f64(shared.settings.connect.0 / 1e3);
+        let client = Client::new(exec, connect_timeout, MAX_IDLE_CONNECTIONS, IDLE_CONNECTION_TIMEOUT);
         Rc::new(Worker {
             exec,
             index,
             core: shared.cores[index].clone(),
-            client: Client::new(exec, connect, KEEP, KEEP_FOR).resetting(),
+            client: client.resetting(),
             shared,
-            asks: Cell::new(0),
+            last_ask: Cell::new(0),
             set_ups: RefCell::default(),
-            streams: RefCell::default(),
-            partings: Cell::new(0),
+            note_streams: RefCell::default(),
+            ends_in_flight: Cell::new(0),
         })
     }
 
@@ -71,83 +84,81 @@
         self.exec.spawn(future).detach();
     }
 
-    async fn tell(&self, told: Told) {
-        _ = self.shared.news.send(News::Happened { told, slot: None }).await;
+    async fn send_event(&self, event: Told) {
+        _ = self.shared.owner_queue.send(OwnerMessage::Event { event, request: None }).await;
     }
 
-    /// Shows that this core moves, and which tasks it has.
-    pub async fn pulse(self: Rc<Worker>) {
+    /// Records this core's heartbeat until the process ends, so that other cores see whether it is stalled.
+    pub async fn send_heartbeats(self: Rc<Worker>) {
         loop {
-            self.core.moves(self.now());
+            self.core.record_heartbeat(self.now());
             Timer::after(Duration::from_secs_f64(vigil::PULSE / 1e3)).await;
         }
     }
 
-    /// Carries out errands for ever.
-    pub async fn run_errands(self: Rc<Worker>) {
+    /// Carries out the owner's commands until the process ends.
+    pub async fn run_commands(self: Rc<Worker>) {
         loop {
-            for errand in self.core.errands.take().await {
-                self.run(errand);
+            for command in self.core.commands.take_all().await {
+                self.run_command(command);
             }
             futures_lite::future::yield_now().await;
         }
     }
 
-    fn run(self: &Rc<Worker>, errand: Errand) {
+    fn run_command(self: &Rc<Worker>, command: CoreCommand) {
         let worker = self.clone();
-        match errand {
-            Errand::SetUp { vw, no, address, path, trace, send_by } => {
-                let name = vw.clone();
-                let task = self.exec.spawn(worker.send_set_up(vw, no, address, path, trace, send_by));
-                self.set_ups.borrow_mut().insert(name, task);
+        match command {
+            CoreCommand::SetUp { viewing, number, address, path, traceparent, send_by_ms } => {
+                let key = viewing.clone();
+                let set_up = SetUpRequest { viewing, number, address, path, traceparent, send_by_ms };
+                let task = self.exec.spawn(worker.send_set_up(set_up));
+                self.set_ups.borrow_mut().insert(key, task);
             }
-            Errand::CallOff { vw, no, address } => {
-                // Dropping the task resets its connection, so that a set-up that is still on its way stays
-                // there.
-                drop(self.set_ups.borrow_mut().remove(&vw));
-                self.parting(address, format!("/viewings/{vw}/{no}"), None);
+            CoreCommand::CancelSetUp { viewing, number, address } => {
+                // Dropping the task resets its connection, so that a set-up that is still in transit
+                // does not reach the server.
+                drop(self.set_ups.borrow_mut().remove(&viewing));
+                self.spawn_end(address, format!("/viewings/{vw}/{no}", vw = viewing, no = number), None);
             }
-            Errand::ChangeRung { vw, address, rung } => self.spawn(async move {
-                let request = worker.errand(Method::PUT, &address, &format!("/viewings/{vw}/rung/{rung}"));
-                let sent = worker.client.exchange(&address, request, ottersail_hls::MOST_BYTES, || true);
-                let playlist = match within(ERRAND, sent).await {
+            CoreCommand::ChangeRung { viewing, address, rung } => self.spawn(async move {
+                let path = format!("/viewings/{vw}/rung/{rung}", vw = viewing);
+                let request = worker.request(Method::PUT, &address, &path);
+                let response = worker.client.exchange(&address, request, ottersail_hls::MOST_BYTES, || true);
+                let playlist = match within(END_TIMEOUT, response).await {
                     Some(Ok(answer)) if answer.status == StatusCode::OK => {
                         String::from_utf8(answer.body.to_vec()).ok()
                     }
                     _ => None,
                 };
-                worker.tell(Told::RungChanged { vw, rung, playlist }).await;
+                worker.send_event(Told::RungChanged { vw: viewing, rung, playlist }).await;
             }),
-            Errand::LetGo { vw, address } => {
-                let told = Told::LetGo { vw: vw.clone() };
-                self.parting(address, format!("/viewings/{vw}"), Some(told));
+            CoreCommand::EndViewing { viewing, address } => {
+                let event = Told::LetGo { vw: viewing.clone() };
+                self.spawn_end(address, format!("/viewings/{vw}", vw = viewing), Some(event));
             }
-            Errand::Listen { server, address } => {
-                let task = self.exec.spawn(worker.hear(server.clone(), address));
-                self.streams.borrow_mut().insert(server, task);
+            CoreCommand::OpenNoteStream { server, address } => {
+                let task = self.exec.spawn(worker.read_notes(server.clone(), address));
+                self.note_streams.borrow_mut().insert(server, task);
             }
-            Errand::Probe { server, address } => self.spawn(async move {
-                let patience = Duration::from_secs_f64(PROBE_PATIENCE.0 / 1e3);
-                let sent = worker.client.exchange(
-                    &address,
-                    worker.errand(Method::GET, &address, "/load"),
-                    4096,
-                    || true,
-                );
-                let answer = within(patience, sent).await.and_then(Result::ok);
-                let answer = answer.filter(|it| it.status == StatusCode::NO_CONTENT);
-                let told =
-                    answer.and_then(|it| it.headers.get(report::HEADER)?.to_str().ok().map(Report::read));
-                worker.tell(Told::Probed { server, report: told }).await;
+            CoreCommand::Probe { server, address } => self.spawn(async move {
+                let timeout = Duration::from_secs_f64(PROBE_PATIENCE.0 / 1e3);
+                let request = worker.request(Method::GET, &address, "/load");
+                let response = worker.client.exchange(&address, request, MAX_RESPONSE_BYTES, || true);
+                let answer = within(timeout, response).await.and_then(Result::ok);
+                let answer = answer.filter(|answer| answer.status == StatusCode::NO_CONTENT);
+                let report = answer
+                    .and_then(|answer| answer.headers.get(report::HEADER)?.to_str().ok().map(Report::read));
+                worker.send_event(Told::Probed { server, report }).await;
             }),
-            Errand::StandStill { ms } => std::thread::sleep(Duration::from_millis(ms)),
-            Errand::HangUp { server } => drop(self.streams.borrow_mut().remove(&server)),
+            CoreCommand::Stall { ms } => std::thread::sleep(Duration::from_millis(ms)),
+            CoreCommand::CloseNoteStream { server } => drop(self.note_streams.borrow_mut().remove(&server)),
         }
     }
 
-    fn errand(&self, method: Method, address: &str, path: &str) -> Request<Body> {
+    fn request(&self, method: Method, address: &str, path: &str) -> Request<Body> {
         let mut request = Client::request(method, address, path);
-        request.headers_mut().insert("x-manager", self.shared.reach.me.into());
+        request.headers_mut().insert("x-manager", self.shared.settings.manager.into());
         request
     }
 }
--- a/daemon/src/worker/servers.rs
+++ b/daemon/src/worker/servers.rs
@@ -1,6 +1,6 @@
-//! What goes between a core and the servers: set-ups, ends, and the notes that are listened to.
+//! Requests from a core to streaming servers: set-ups, ends of viewings, and the streams of notes.
 
-use super::{within, Worker, ERRAND};
+use super::{within, Worker, END_TIMEOUT, MAX_RESPONSE_BYTES};
 use hyper::{Method, StatusCode};
 use ottersail_front::tape::Told;
 use ottersail_front::SetUpEnd;
@@ -11,32 +11,41 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, warn};
 
-/// Ends that are being told to servers; past that many the rest is left to the servers' own leases.
-const MOST_PARTINGS: usize = 4_096;
-const STREAM_PAUSE: Duration = Duration::from_millis(100);
+/// Ends that may be in flight to servers at once. Further ends are left to the servers' leases.
+const MAX_ENDS_IN_FLIGHT: usize = 4_096;
+/// How often an end is sent before it counts as failed.
+const END_ATTEMPTS: usize = 2;
+/// Pause between two attempts to open a stream of notes.
+const NOTE_STREAM_RETRY: Duration = Duration::from_millis(100);
+
+/// A set-up to be sent to a server.
+pub(super) struct SetUpRequest {
+    pub viewing: String,
+    /// Number of the set-up within its viewing.
+    pub number: usize,
+    pub address: String,
+    pub path: String,
+    pub traceparent: String,
+    /// The set-up is not sent after this time, in milliseconds since 1970.
+    pub send_by_ms: f64,
+}
 
 impl Worker {
-    pub(super) async fn send_set_up(
-        self: Rc<Worker>,
-        vw: String,
-        no: usize,
-        address: String,
-        path: String,
-        trace: String,
-        send_by: f64,
-    ) {
-        let mut request = self.errand(Method::PUT, &address, &path);
-        if let Ok(trace) = trace.parse() {
-            request.headers_mut().insert("traceparent", trace);
+    /// Sends a set-up and reports its result to the owner.
+    pub(super) async fn send_set_up(self: Rc<Worker>, set_up: SetUpRequest) {
+        let SetUpRequest { viewing, number, address, path, traceparent, send_by_ms } = set_up;
+        let mut request = self.request(Method::PUT, &address, &path);
+        if let Ok(traceparent) = traceparent.parse() {
+            request.headers_mut().insert("traceparent", traceparent);
         }
-        let in_time = || self.now() <= send_by;
+        let may_send = || self.now() <= send_by_ms;
         let began = Instant::now();
-        let answer = self.client.exchange(&address, request, ottersail_hls::MOST_BYTES, in_time).await;
-        self.shared.times.set_up(began.elapsed());
+        let answer = self.client.exchange(&address, request, ottersail_hls::MOST_BYTES, may_send).await;
+        self.shared.latencies.record_set_up(began.elapsed());
         let mut load = Report::default();
         let end = match answer {
             Ok(answer) => {
-                let header = answer.headers.get(report::HEADER).and_then(|it| it.to_str().ok());
+                let header = answer.headers.get(report::HEADER).and_then(|value| value.to_str().ok());
                 load = header.map(Report::read).unwrap_or_default();
                 match answer.status {
                     StatusCode::CREATED => match String::from_utf8(answer.body.to_vec()) {
@@ -52,19 +61,20 @@
             Err(Failure::Lost { .. }) => SetUpEnd::ConnectionLost,
             Err(Failure::TooLarge { .. }) => SetUpEnd::ServerError,
         };
-        let done = self.set_ups.borrow_mut().remove(&vw);
-        // Told by a task of its own: this one ends with its handle.
+        let own_task = self.set_ups.borrow_mut().remove(&viewing);
+        // The event is sent by another task, because dropping `own_task` cancels this one.
         let worker = self.clone();
-        self.spawn(async move { worker.tell(Told::SetUpEnded { vw, no, end, report: load }).await });
-        drop(done);
+        let event = Told::SetUpEnded { vw: viewing, no: number, end, report: load };
+        self.spawn(async move { worker.send_event(event).await });
+        drop(own_task);
     }
 
-    /// Tells a server that a viewing is over; true if it heard.
-    async fn part(&self, address: &str, path: &str) -> bool {
-        for _ in 0..2 {
-            let request = self.errand(Method::DELETE, address, path);
-            let sent = self.client.exchange(address, request, 4096, || true);
-            match within(ERRAND, sent).await {
+    /// Tells a server that a viewing has ended; returns whether the server has answered.
+    async fn send_end(&self, address: &str, path: &str) -> bool {
+        for _ in 0..END_ATTEMPTS {
+            let request = self.request(Method::DELETE, address, path);
+            let response = self.client.exchange(address, request, MAX_RESPONSE_BYTES, || true);
+            match within(END_TIMEOUT, response).await {
                 Some(Ok(_)) => return true,
                 Some(Err(Failure::NoConnection { .. })) | None => return false,
                 Some(Err(_)) => {}
@@ -73,49 +83,51 @@
         false
     }
 
-    pub(super) fn parting(self: &Rc<Worker>, address: String, path: String, told: Option<Told>) {
-        if self.partings.get() >= MOST_PARTINGS {
-            debug!(path, "too many ends are being told; this one is left to the server's lease");
+    /// Starts a task that tells a server that a viewing has ended, and sends `event` to the owner once the
+    /// server has answered.
+    pub(super) fn spawn_end(self: &Rc<Worker>, address: String, path: String, event: Option<Told>) {
+        if self.ends_in_flight.get() >= MAX_ENDS_IN_FLIGHT {
+            debug!(path, "too many ends in flight; leaving this one to the server's lease");
             return;
         }
-        self.partings.set(self.partings.get() + 1);
+        self.ends_in_flight.set(self.ends_in_flight.get() + 1);
         let worker = self.clone();
         self.spawn(async move {
-            let heard = worker.part(&address, &path).await;
-            worker.partings.set(worker.partings.get() - 1);
-            if let Some(told) = told.filter(|_| heard) {
-                worker.tell(told).await;
+            let answered = worker.send_end(&address, &path).await;
+            worker.ends_in_flight.set(worker.ends_in_flight.get() - 1);
+            if let Some(event) = event.filter(|_| answered) {
+                worker.send_event(event).await;
             }
         });
     }
 
-    /// Listens to a server's notes until it is lost.
-    pub(super) async fn hear(self: Rc<Worker>, server: String, address: String) {
-        let silence = Duration::from_secs_f64(self.shared.reach.silence.0 / 1e3);
-        // Until it has been heard once, it is tried again for as long as it may be silent.
-        let until = self.now() + self.shared.reach.silence.0;
-        let mut opened = None;
-        while opened.is_none() && self.now() < until {
-            let request = self.errand(Method::GET, &address, "/notes");
-            opened = within(silence, self.client.events(&address, request)).await.and_then(Result::ok);
-            if opened.is_none() {
-                Timer::after(STREAM_PAUSE).await;
+    /// Reads a server's stream of notes until the server is lost.
+    pub(super) async fn read_notes(self: Rc<Worker>, server: String, address: String) {
+        let silence = Duration::from_secs_f64(self.shared.settings.silence.0 / 1e3);
+        // Until the stream is open for the first time, it is retried for as long as a server may be silent.
+        let retry_until = self.now() + self.shared.settings.silence.0;
+        let mut stream = None;
+        while stream.is_none() && self.now() < retry_until {
+            let request = self.request(Method::GET, &address, "/notes");
+            stream = within(silence, self.client.events(&address, request)).await.and_then(Result::ok);
+            if stream.is_none() {
+                Timer::after(NOTE_STREAM_RETRY).await;
             }
         }
         let mut reader = Reader::default();
-        if let Some(mut events) = opened {
-            while let Some(Some(bytes)) = within(silence, events.next()).await {
+        if let Some(mut stream) = stream {
+            while let Some(Some(bytes)) = within(silence, stream.next()).await {
                 let mut notes = Vec::new();
-                let whole = reader.take(&bytes, |it| notes.push(it));
-                for note in notes.into_iter().filter(|it| *it != Note::Alive) {
-                    self.tell(Told::Noted { server: server.clone(), note }).await;
+                let parsed = reader.take(&bytes, |note| notes.push(note));
+                for note in notes.into_iter().filter(|note| *note != Note::Alive) {
+                    self.send_event(Told::Noted { server: server.clone(), note }).await;
                 }
-                if whole.is_err() {
-                    warn!(server, "its notes can't be read; its stream is given up");
+                if parsed.is_err() {
+                    warn!(server, "cannot parse the server's notes; closing its stream");
                     break;
                 }
             }
         }
-        self.tell(Told::ServerLost { server }).await;
+        self.send_event(Told::ServerLost { server }).await;
     }
 }
--- a/daemon/src/worker/shared.rs
+++ b/daemon/src/worker/shared.rs
@@ -1,7 +1,7 @@
-//! What all cores read and few write.
+//! State that all cores of a manager share.
 
-use crate::metrics::Times;
-use crate::post::{Core, News};
+use crate::messages::{CoreState, OwnerMessage};
+use crate::metrics::Latencies;
 use crate::settings::manager::ManagerSettings;
 use arc_swap::ArcSwap;
 use async_channel::Sender;
@@ -12,44 +12,57 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 
-/// What all cores read and few write.
+/// State that all cores read and that changes rarely.
 pub struct Shared {
     pub clock: Clock,
-    pub reach: Reach,
+    pub settings: WorkerSettings,
+    /// The keys that sign playlist addresses; a reload of the settings replaces them.
     pub keys: ArcSwap<Keys>,
-    pub listed: AtomicBool,
-    pub titled: AtomicBool,
-    pub times: Times,
-    pub cores: Vec<Arc<Core>>,
-    pub news: Sender<News>,
+    /// Set once the list of servers has been received.
+    pub has_servers: AtomicBool,
+    /// Set once the titles have been received.
+    pub has_titles: AtomicBool,
+    pub latencies: Latencies,
+    pub cores: Vec<Arc<CoreState>>,
+    /// The queue of messages to the placement owner.
+    pub owner_queue: Sender<OwnerMessage>,
 }
 
-/// What a core reads of the settings.
-pub struct Reach {
-    pub me: u64,
+/// The settings that a core needs.
+pub struct WorkerSettings {
+    /// The manager's number, sent to servers in `x-manager`.
+    pub manager: u64,
+    /// Address of the discovery service, `host:port`.
     pub list: String,
+    /// Name of the streaming servers' service in the list.
     pub service: String,
+    /// How long the discovery service may hold a request until something changes.
     pub list_wait: Ms,
+    /// Pause after a failed request for the list.
     pub list_retry: Ms,
+    /// Limit for opening a connection.
     pub connect: Ms,
+    /// A server that sends nothing for this long is lost.
     pub silence: Ms,
-    pub stay_away: Option<f64>,
-    /// As what it is a member: who knocks for that one is told.
+    /// Upper limit of the `retry-after` of blocked requests, in milliseconds.
+    pub stay_away_ms: Option<f64>,
+    /// This manager's id as a member, which `/ready` returns to other members.
     pub member: Option<MemberId>,
 }
 
-impl From<&ManagerSettings> for Reach {
-    fn from(it: &ManagerSettings) -> Reach {
-        Reach {
-            me: it.terms.me.0,
-            list: it.links.list.clone(),
-            service: it.links.service.clone(),
-            list_wait: it.links.list_wait,
-            list_retry: it.links.list_retry,
-            connect: it.links.connect,
-            silence: it.links.silence,
-            stay_away: it.terms.max_stay_away.map(|it| it.0),
-            member: it.members.as_ref().map(|it| MemberId::of(&it.cluster, &it.name)),
+impl From<&ManagerSettings> for WorkerSettings {
+    fn from(settings: &ManagerSettings) -> WorkerSettings {
+        let member = settings.members.as_ref();
+        WorkerSettings {
+            manager: settings.terms.me.0,
+            list: settings.links.list.clone(),
+            service: settings.links.service.clone(),
+            list_wait: settings.links.list_wait,
+            list_retry: settings.links.list_retry,
+            connect: settings.links.connect,
+            silence: settings.links.silence,
+            stay_away_ms: settings.terms.max_stay_away.map(|limit| limit.0),
+            member: member.map(|member| MemberId::of(&member.cluster, &member.name)),
         }
     }
 }
