--- a/consensus/src/tests/sim.rs
+++ b/consensus/src/tests/sim.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use ottersail::time::Ms;
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 
 use super::judge::{founded, Heap, Judge};
 use crate::*;
-use ottersail_membership::chance::Chance;
+use ottersail_membership::rng::SeededRng;
 
 /// What goes wrong, in thousandths.
 #[derive(Clone, Copy, Debug, Default)]
@@ -29,32 +29,32 @@
 struct Moody(bool);
 
 impl Guard for Moody {
-    fn allows(&self, _: Ms, _: Key, _: &Stored, _: &Value) -> bool {
+    fn allows(&self, _: Ms, _: Key, _: &StoredState, _: &Value) -> bool {
         !self.0
     }
 }
 
 #[derive(Clone, Debug)]
 enum Event {
-    Deliver { from: MemberId, life: Life, to: MemberId, message: Message },
-    Kept { at: MemberId, life: Life, token: Token },
+    Deliver { from: MemberId, life: InstanceId, to: MemberId, message: Message },
+    Kept { at: MemberId, life: InstanceId, token: Token },
     Up(MemberId),
     Heal(MemberId, MemberId),
 }
 
 pub struct Sim {
     pub now: Ms,
-    pub chance: Chance,
+    pub chance: SeededRng,
     pub faults: Faults,
     pub guards: Guards,
     pub up: BTreeMap<MemberId, Councillor>,
-    pub disks: BTreeMap<MemberId, Stored>,
+    pub disks: BTreeMap<MemberId, StoredState>,
     unsynced: BTreeMap<MemberId, Vec<(Token, Vec<Record>)>>,
     events: BTreeMap<(Ms, u64), Event>,
     pub cuts: BTreeSet<(MemberId, MemberId)>,
     pub members: Vec<MemberId>,
     drawn: u64,
-    lives: BTreeMap<(MemberId, MemberId), Life>,
+    lives: BTreeMap<(MemberId, MemberId), InstanceId>,
     /// Each way, and each sync: from this to twice this.
     pub way: Ms,
     pub sync: Ms,
@@ -66,7 +66,7 @@
         let members: Vec<MemberId> = (1..=count).map(MemberId).collect();
         let mut sim = Sim {
             now: Ms(0.0),
-            chance: Chance::new(seed),
+            chance: SeededRng::new(seed),
             faults,
             guards,
             up: BTreeMap::new(),
@@ -87,18 +87,20 @@
 
     pub fn start(&mut self, member: MemberId) {
         self.drawn += 1;
-        let terms = Terms::new(member, Life(self.drawn), &self.members, self.drawn);
-        let disk =
-            self.disks.entry(member).or_insert_with(|| Stored::new(Memory::drawn(u64::MAX - self.drawn)));
-        let mut councillor = Councillor::born(self.now, terms, disk.clone());
+        let config = CouncilConfig::new(member, InstanceId(self.drawn), &self.members, self.drawn);
+        let disk = self
+            .disks
+            .entry(member)
+            .or_insert_with(|| StoredState::new(StoreGeneration::drawn(u64::MAX - self.drawn)));
+        let mut councillor = Councillor::new(self.now, config, disk.clone());
         councillor.sabotage(self.guards);
         self.up.insert(member, councillor);
-        self.living();
+        self.set_living();
     }
 
-    fn living(&mut self) {
+    fn set_living(&mut self) {
         let living: BTreeSet<MemberId> = self.up.keys().copied().collect();
-        self.up.values_mut().for_each(|councillor| councillor.living(&living));
+        self.up.values_mut().for_each(|councillor| councillor.set_living(&living));
     }
 
     pub fn forget(&mut self, member: MemberId) {
@@ -111,25 +113,25 @@
         // Some of what was wished last may have reached the disk untold.
         for (_, records) in unsynced.iter().take(self.chance.below(unsynced.len() + 1)) {
             let disk = self.disks.entry(member).or_default();
-            records.iter().for_each(|record| disk.take(record));
+            records.iter().for_each(|record| disk.apply(record));
         }
-        self.living();
+        self.set_living();
     }
 
-    pub fn ask(&mut self, at: MemberId, key: Key, change: Change) -> u64 {
+    pub fn submit(&mut self, at: MemberId, key: Key, change: Change) -> u64 {
         self.drawn += 1;
         let number = self.drawn;
         self.judge.asked.insert((at, number), (key, self.judge.newest(key)));
-        self.call(at, |councillor, now, guard, out| councillor.ask(now, number, key, change, guard, out));
+        self.call(at, |councillor, now, guard, out| councillor.submit(now, number, key, change, guard, out));
         number
     }
 
-    fn call(&mut self, at: MemberId, step: impl FnOnce(&mut Councillor, Ms, &dyn Guard, &mut dyn Wishes)) {
+    fn call(&mut self, at: MemberId, step: impl FnOnce(&mut Councillor, Ms, &dyn Guard, &mut dyn Effects)) {
         let Some(councillor) = self.up.get_mut(&at) else { return };
         let mut heap = Heap::default();
         let guard = Moody(self.chance.below(1000) < self.faults.refuse);
         step(councillor, self.now, &guard, &mut heap);
-        let life = councillor.follower().terms().life;
+        let life = councillor.follower().config().life;
         for (to, message) in heap.sent {
             let size = postcard::to_allocvec(&message).map(|bytes| bytes.len()).unwrap_or(usize::MAX);
             assert!(size <= 900, "{size} bytes: {message:?}");
@@ -140,15 +142,15 @@
             };
             for _ in 0..copies {
                 // Now and then far behind the others.
-                let late = if self.chance.below(20) == 0 { 100.0 * self.chance.part() } else { 1.0 };
-                let wait = self.way * ((1.0 + self.chance.part()) * late);
+                let late = if self.chance.below(20) == 0 { 100.0 * self.chance.fraction() } else { 1.0 };
+                let wait = self.way * ((1.0 + self.chance.fraction()) * late);
                 self.later(wait, Event::Deliver { from: at, life, to, message: message.clone() });
             }
         }
         for (token, records) in heap.keeps {
             let unsynced = self.unsynced.entry(at).or_default();
             unsynced.push((token, records));
-            let wait = self.sync * (1.0 + self.chance.part());
+            let wait = self.sync * (1.0 + self.chance.fraction());
             self.later(wait, Event::Kept { at, life, token });
         }
         for (key, value) in heap.chosen {
@@ -168,11 +170,11 @@
         let until = self.now + span;
         loop {
             let event = self.events.keys().next().copied().filter(|(at, _)| *at <= until);
-            let bell = self.up.iter().map(|(member, c)| (c.bell_at(), *member)).min();
+            let bell = self.up.iter().map(|(member, c)| (c.next_timer(), *member)).min();
             match (event, bell) {
                 (event, Some((at, member))) if at <= until && event.is_none_or(|(first, _)| at < first) => {
                     self.now = self.now.max(at);
-                    self.call(member, |councillor, now, guard, out| councillor.bell(now, guard, out));
+                    self.call(member, |councillor, now, guard, out| councillor.on_timer(now, guard, out));
                 }
                 (Some(first), _) => {
                     self.now = first.0;
@@ -196,12 +198,12 @@
                 }
                 *heard = life;
                 self.call(to, |councillor, now, guard, out| {
-                    councillor.message(now, from, &message, guard, out)
+                    councillor.on_message(now, from, &message, guard, out)
                 });
             }
             Event::Deliver { .. } => {}
             Event::Kept { at, life, token } => {
-                if self.up.get(&at).is_none_or(|c| c.follower().terms().life != life) {
+                if self.up.get(&at).is_none_or(|c| c.follower().config().life != life) {
                     return;
                 }
                 self.sync_upto(at, token);
@@ -220,8 +222,8 @@
         self.unsynced.insert(at, rest);
         for (token, records) in done {
             let disk = self.disks.entry(at).or_default();
-            records.iter().for_each(|record| disk.take(record));
-            self.call(at, |councillor, now, guard, out| councillor.kept(now, token, guard, out));
+            records.iter().for_each(|record| disk.apply(record));
+            self.call(at, |councillor, now, guard, out| councillor.on_persisted(now, token, guard, out));
         }
     }
 
@@ -230,16 +232,17 @@
         let any = self.members[self.chance.below(self.members.len())];
         let other = self.members[self.chance.below(self.members.len())];
         if self.chance.below(1000) < self.faults.cut && self.cuts.insert((any, other)) {
-            let wait = Ms(600.0) * self.chance.part();
+            let wait = Ms(600.0) * self.chance.fraction();
             self.later(wait, Event::Heal(any, other));
         }
         if self.chance.below(1000) < self.faults.crash && self.up.contains_key(&any) {
             self.crash(any);
-            let sound = self.disks.iter().filter(|(member, disk)| **member != any && disk.sound).count();
+            let sound =
+                self.disks.iter().filter(|(member, disk)| **member != any && disk.participating).count();
             if self.chance.below(1000) < self.faults.forget && sound > self.members.len() / 2 {
                 self.forget(any);
             }
-            let wait = Ms(400.0) * self.chance.part();
+            let wait = Ms(400.0) * self.chance.fraction();
             self.later(wait, Event::Up(any));
         }
         self.run(Ms(50.0));
--- a/daemon/src/error.rs
+++ b/daemon/src/error.rs
@@ -1,7 +1,7 @@
 //! Errors of the program's commands. Each message says what is wrong, where, and what can be tried.
 
 use crate::settings::error::SettingsError;
-use ottersail_membership::TermsError;
+use ottersail_membership::MembershipConfigError;
 use std::io;
 use std::net::{AddrParseError, SocketAddr};
 use std::path::PathBuf;
@@ -31,7 +31,7 @@
     )]
     Listen { address: SocketAddr, cause: io::Error },
     #[error("[members]: {0}")]
-    Members(#[from] TermsError),
+    Members(#[from] MembershipConfigError),
     #[error(
         "{address}: no datagrams: {cause}; is another one running? Otherwise choose another address for \
          [members] listen"
--- a/daemon/src/fleet/council/carry.rs
+++ b/daemon/src/fleet/council/carry.rs
@@ -4,10 +4,10 @@
 use crate::fleet::Fleet;
 use crate::owner::PlacementOwner;
 use ottersail::time::Ms;
-use ottersail_front::tape::Told;
+use ottersail_front::recording::FrontInput;
 use ottersail_membership::{MemberId, Topic};
 use ottersail_net::Timer;
-use ottersail_rollout::{Counts, Name, Order};
+use ottersail_rollout::{Name, Order, ViewingCounts};
 use prometheus_client::registry::Registry;
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -56,9 +56,9 @@
     }
 
     /// A viewing was asked for here.
-    pub fn arrived(&self) {
+    pub fn viewing_requested(&self) {
         if let Some(council) = self.counsel.council.borrow().as_ref() {
-            council.arrived();
+            council.viewing_requested();
         }
     }
 
@@ -98,7 +98,7 @@
         if owner.with_front(|it| it.is_draining()) {
             return;
         }
-        owner.handle(&Told::Drain);
+        owner.handle(&FrontInput::Drain);
         let now = self.now();
         let in_time = |it: &mut Council| it.still_in_time(now, &going);
         if self.counsel.council.borrow_mut().as_mut().is_some_and(in_time) {
@@ -106,17 +106,17 @@
             _ = self.counsel.out.0.try_send(going.version);
         } else {
             warn!(target: "releases", "a permit ran out before it was used: viewings are taken again");
-            owner.handle(&Told::Resume);
+            owner.handle(&FrontInput::Resume);
         }
     }
 
     /// Comes back once this manager goes out by a permit, with the version to come back with.
-    pub async fn goes_out(&self) -> Option<Name> {
+    pub async fn departure(&self) -> Option<Name> {
         self.counsel.out.1.recv().await.ok()
     }
 
     /// An order of this manager's own file.
-    pub fn order(&self, order: Order) {
+    pub fn submit_order(&self, order: Order) {
         self.council(|it, _, _| it.order(order));
     }
 
@@ -124,9 +124,9 @@
     fn stands(&self, council: &mut Council, now: Ms) {
         let Some(owner) = self.counsel.owner.upgrade() else { return };
         let clock = ottersail_front::Ms(owner.clock.now());
-        let (whole, it) = owner.with_front(|it| (it.whole(clock), it.counts()));
+        let (whole, it) = owner.with_front(|it| (it.is_ready(clock), it.counts()));
         let (set_ups, set_up_ms) = owner.set_up_totals();
-        let counts = Counts {
+        let counts = ViewingCounts {
             // Whoever is not even taken is blocked to its viewer.
             asked: it.asked + it.turned_away_untaken,
             blocked: it.blocked + it.turned_away_untaken,
@@ -159,19 +159,19 @@
             self.told(None, |it, out| {
                 for tell in &tells {
                     // One that is not known yet hears it at the next try.
-                    it.tell(now, tell.to, tell.topic, &tell.bytes, out);
+                    it.send_message(now, tell.to, tell.topic, &tell.bytes, out);
                 }
             });
         }
         for (topic, bytes) in riders {
-            self.members.borrow_mut().carry(topic, &bytes);
+            self.members.borrow_mut().set_piggyback(topic, &bytes);
         }
         if let Some(mut part) = part {
             if let (Some(owner), Some(ahead)) = (self.counsel.owner.upgrade(), self.ahead()) {
-                if part.until > 0.0 {
-                    part.until += ahead;
+                if part.lease_end_ms > 0.0 {
+                    part.lease_end_ms += ahead;
                 }
-                owner.handle(&Told::Part { part });
+                owner.handle(&FrontInput::SlotShareChanged { share: part });
             }
         }
         Some(shrunk)
@@ -212,7 +212,7 @@
                 self.council(|it, now, outs| {
                     self.stands(it, now);
                     it.bell(now, outs);
-                    it.roster(now, self.members.borrow().roster(), outs);
+                    it.roster(now, self.members.borrow().others(), outs);
                 });
             }
             futures_lite::future::yield_now().await;
--- a/daemon/src/fleet/council/orders.rs
+++ b/daemon/src/fleet/council/orders.rs
@@ -2,27 +2,30 @@
 
 use super::keys::{set, Ask, Head};
 use super::post::Post;
-use super::releases::{allows, Releases};
+use super::release_guard::allows;
+use super::releases::Releases;
 use super::wants::{Input, Wants};
 use super::{lines, Council, Held};
 use ottersail::time::Ms;
-use ottersail_consensus::{Change, Guard, Key, MemberId, Outcome, Stored, Value};
-use ottersail_leases::{Answer, Bucket, BucketNo, Holder, Needs, Renew, Renewals, Seat, Slot, Terms};
+use ottersail_consensus::{Change, Guard, Key, MemberId, Outcome, StoredState, Value};
+use ottersail_leases::{
+    Answer, Bucket, BucketId, Holder, LeaseConfig, LeaseGrants, Renew, Slot, SlotBalancer, SlotEntry,
+};
 
 /// The leases stand in the way of slots that would be given to another too early, and what a councillor sees in
 /// the way of permits.
-struct Leases<'a>(Option<&'a Renewals>, Option<&'a Releases>);
+struct Leases<'a>(Option<&'a LeaseGrants>, Option<&'a Releases>);
 
 impl Guard for Leases<'_> {
-    fn allows(&self, now: Ms, key: Key, held: &Stored, to: &Value) -> bool {
+    fn allows(&self, now: Ms, key: Key, held: &StoredState, to: &Value) -> bool {
         let no = match key {
-            Key::Head => return true,
+            Key::Founding => return true,
             Key::Slots(no) => no,
             Key::Order(_) => return allows(now, self.1, key, held, to),
         };
         let from = held.accepted(key).map_or(&[][..], |it| &it.body);
         // Without the founding's figures no slots can be told apart.
-        self.0.is_some_and(|it| it.allows_body(now, BucketNo(no), from, &to.body))
+        self.0.is_some_and(|it| it.allows_encoded(now, BucketId(no), from, &to.body))
     }
 }
 
@@ -31,15 +34,15 @@
         let guard = Leases(self.held.as_ref().map(|it| &it.renewals), self.releases.as_ref());
         match input {
             Input::Bell => {
-                self.seat.bell(now, &guard, wants);
+                self.seat.on_timer(now, &guard, wants);
                 if let Some(held) = &mut self.held {
-                    held.holder.bell(now, wants);
+                    held.holder.handle_deadline(now, wants);
                 }
                 if let Some(it) = &mut self.releases {
                     it.bell(now, wants);
                 }
             }
-            Input::Heard(from, Post::Council(it)) => self.seat.message(now, from, &it, &guard, wants),
+            Input::Heard(from, Post::Council(it)) => self.seat.on_message(now, from, &it, &guard, wants),
             Input::Heard(from, Post::Renew(it)) => self.renew(now, from, &it, wants),
             Input::Heard(from, Post::Renewed(it)) => {
                 if let Some(held) = &mut self.held {
@@ -52,7 +55,7 @@
                     held.renewals.release(now, from, &it);
                 }
             }
-            Input::Kept(token) => self.seat.kept(now, token, &guard, wants),
+            Input::Kept(token) => self.seat.on_persisted(now, token, &guard, wants),
             Input::Chosen(key, value) => self.chosen(now, key, &value, wants),
             Input::Answered(number, outcome) => self.answered(now, number, outcome, wants),
             Input::Read(no) => self.ask(now, Ask::Read(no), Change::Read, wants),
@@ -69,19 +72,19 @@
         let guard = Leases(self.held.as_ref().map(|it| &it.renewals), self.releases.as_ref());
         self.number += 1;
         self.asked.insert(self.number, (what, now));
-        self.seat.ask(now, self.number, (what.key(), change), &guard, wants);
+        self.seat.submit(now, self.number, (what.key(), change), &guard, wants);
     }
 
     /// Only a councillor that takes part answers: another's word would count towards a majority.
     fn renew(&mut self, now: Ms, from: MemberId, ask: &Renew, wants: &mut Wants) {
-        let (Some(seat), Some(held)) = (self.seat.sound(), &mut self.held) else { return };
+        let (Some(seat), Some(held)) = (self.seat.participating_councillor(), &mut self.held) else { return };
         let registers = &seat.acceptor().stored().registers;
         let terms = &held.terms;
         let accepted = |slot: Slot| {
             let no = slot.bucket();
             let body = registers.get(&Key::Slots(no.0)).and_then(|it| it.accepted.as_ref());
-            let bucket = body.and_then(|it| Bucket::read(no, terms.seats(no), &it.1.body).ok());
-            bucket.map_or(Seat::default(), |it| seat_of(terms, &it, no, slot))
+            let bucket = body.and_then(|it| Bucket::decode(no, terms.slots_in(no), &it.1.body).ok());
+            bucket.map_or(SlotEntry::default(), |it| seat_of(terms, &it, no, slot))
         };
         let answer = held.renewals.renew(now, from, ask, accepted);
         self.tally.renewals(ask.slots.len() - answer.refused.len(), answer.refused.len());
@@ -91,10 +94,12 @@
     fn chosen(&mut self, now: Ms, key: Key, value: &Value, wants: &mut Wants) {
         lines::chosen(key, value);
         match (key, &mut self.held) {
-            (Key::Head, _) => self.founded(now, value),
+            (Key::Founding, _) => self.founded(now, value),
             (Key::Order(_), _) => self.ordered(now, key, value, wants),
             (Key::Slots(no), Some(held)) => {
-                if let Err(trouble) = held.holder.learned(BucketNo(no), value.revision, &value.body, wants) {
+                if let Err(trouble) =
+                    held.holder.register_changed(BucketId(no), value.revision, &value.body, wants)
+                {
                     lines::trouble(&trouble);
                 }
             }
@@ -117,11 +122,11 @@
         self.held = Some(self.holding(now, terms));
     }
 
-    fn holding(&self, now: Ms, terms: Terms) -> Held {
+    fn holding(&self, now: Ms, terms: LeaseConfig) -> Held {
         Held {
-            holder: Holder::born(now, self.seed, self.me, terms.clone()),
-            needs: Needs::born(now, self.me.0, terms.clone()),
-            renewals: Renewals::born(now, terms.clone()),
+            holder: Holder::new(now, self.seed, self.me, terms.clone()),
+            needs: SlotBalancer::new(now, self.me.0, terms.clone()),
+            renewals: LeaseGrants::new(now, terms.clone()),
             terms,
         }
     }
@@ -131,9 +136,9 @@
         self.tally.answered(ask, &outcome, now - asked);
         match ask {
             Ask::Head => match outcome {
-                Outcome::Done(value) | Outcome::Now(Some(value)) => self.founded(now, &value),
-                Outcome::Now(None) => self.ask(now, Ask::Head, set(0, self.own.bytes()), wants),
-                Outcome::Unanswered | Outcome::Turned => {}
+                Outcome::Chosen(value) | Outcome::Current(Some(value)) => self.founded(now, &value),
+                Outcome::Current(None) => self.ask(now, Ask::Head, set(0, self.own.bytes()), wants),
+                Outcome::Unanswered | Outcome::Rejected => {}
             },
             Ask::Order(key) => self.put(now, key, &outcome, wants),
             Ask::Read(no) | Ask::Propose(no) => {
@@ -143,7 +148,7 @@
                     return;
                 }
                 if let Some(held) = &mut self.held {
-                    if let Err(trouble) = held.holder.answered(now, no, answer, wants) {
+                    if let Err(trouble) = held.holder.council_answered(now, no, answer, wants) {
                         lines::trouble(&trouble);
                     }
                 }
@@ -153,7 +158,7 @@
 }
 
 /// All buckets but the last are as long as the first.
-fn seat_of(terms: &Terms, bucket: &Bucket, no: BucketNo, slot: Slot) -> Seat {
-    let first = usize::from(no.0) * terms.seats(BucketNo(0));
-    bucket.seat(usize::from(slot.0) - first)
+fn seat_of(terms: &LeaseConfig, bucket: &Bucket, no: BucketId, slot: Slot) -> SlotEntry {
+    let first = usize::from(no.0) * terms.slots_in(BucketId(0));
+    bucket.entry(usize::from(slot.0) - first)
 }
--- a/daemon/src/messages.rs
+++ b/daemon/src/messages.rs
@@ -2,10 +2,10 @@
 //! that the other threads read.
 
 use async_channel::{Receiver, Sender};
-use ottersail_cores::{vigil, Claim};
-use ottersail_front::tape::Told;
-use ottersail_front::{AskId, Reply};
-use ottersail_net::Line;
+use ottersail_cores::{stall, Claim};
+use ottersail_front::recording::FrontInput;
+use ottersail_front::{Reply, RequestId};
+use ottersail_net::ConnectionHandle;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -26,7 +26,7 @@
     /// Notifies the task that handles the request once `reply` is set.
     pub reply_ready: Sender<()>,
     /// The player's connection.
-    pub connection: Line,
+    pub connection: ConnectionHandle,
     /// When the request arrived, in milliseconds since 1970.
     pub received_ms: f64,
     /// When the request must be answered at the latest, in milliseconds since 1970.
@@ -42,7 +42,7 @@
 /// A message to the placement owner.
 pub enum OwnerMessage {
     /// An event for the front, with the pending request that it belongs to, if any.
-    Event { event: Told, request: Option<TracedRequest> },
+    Event { event: FrontInput, request: Option<TracedRequest> },
     /// Asks for the metrics page.
     Metrics(Sender<String>),
 }
@@ -53,8 +53,8 @@
     /// Sends a set-up to a server.
     SetUp {
         viewing: String,
-        /// Number of the set-up within its viewing.
-        number: usize,
+        /// Number of the tune-in within its viewing.
+        tune_in: usize,
         address: String,
         path: String,
         traceparent: String,
@@ -64,8 +64,8 @@
     /// Stops a set-up and tells the server that its viewing is not wanted.
     CancelSetUp {
         viewing: String,
-        /// Number of the set-up within its viewing.
-        number: usize,
+        /// Number of the tune-in within its viewing.
+        tune_in: usize,
         address: String,
     },
     /// Changes the rung of a viewing that plays.
@@ -136,7 +136,7 @@
 pub struct CoreState {
     pub commands: CommandQueue,
     /// Requests that were received by this core and are not answered yet.
-    pub pending_requests: Mutex<BTreeMap<AskId, Arc<PendingRequest>>>,
+    pub pending_requests: Mutex<BTreeMap<RequestId, Arc<PendingRequest>>>,
     /// Connections to players that this core holds.
     pub open_connections: AtomicUsize,
     /// Requests that this core has answered.
@@ -153,7 +153,7 @@
 
     /// Whether the core's last heartbeat is too old; `now` in milliseconds since 1970.
     pub fn is_stalled(&self, now: f64) -> bool {
-        vigil::is_still(now, self.last_heartbeat_ms.load(Ordering::Acquire) as f64)
+        stall::is_stalled(now, self.last_heartbeat_ms.load(Ordering::Acquire) as f64)
     }
 }
 
--- a/daemon/src/metrics.rs
+++ b/daemon/src/metrics.rs
@@ -68,7 +68,7 @@
 }
 
 /// Counts of the HTTP server's connections.
-pub struct ConnectionCounts {
+pub struct ConnectionTotals {
     /// Connections open now.
     pub open: usize,
     /// Connections refused so far.
@@ -79,13 +79,13 @@
 pub fn encode_metrics(
     front: &Front,
     latencies: &Latencies,
-    connections: &ConnectionCounts,
+    connections: &ConnectionTotals,
     cores: &[Arc<CoreState>],
     fleet: Option<&Fleet>,
 ) -> String {
     let mut registry = Registry::with_prefix("ottersail");
     if let Some(fleet) = fleet {
-        fleet.register(&mut registry);
+        fleet.register_metrics(&mut registry);
     }
     let Counts {
         asked,
@@ -125,10 +125,10 @@
         registry.register(name, help, counter);
     }
     let gauges = [
-        ("waiting", "Requests that wait for their answer", front.waiting()),
-        ("watches", "Viewers who watch", front.watches()),
-        ("viewings", "Viewings held, set-ups included", front.viewings()),
-        ("servers", "Servers in the list", front.servers()),
+        ("waiting", "Requests that wait for their answer", front.waiting_requests()),
+        ("watches", "Viewers who watch", front.watch_count()),
+        ("viewings", "Viewings held, set-ups included", front.viewing_count()),
+        ("servers", "Servers in the list", front.server_count()),
         ("connections", "Connections open to players", connections.open),
     ];
     for (name, help, value) in gauges {
--- a/daemon/src/owner.rs
+++ b/daemon/src/owner.rs
@@ -7,13 +7,13 @@
 
 use crate::fleet::Fleet;
 use crate::messages::{CoreCommand, CoreState, OwnerMessage, TracedRequest};
-use crate::metrics::{encode_metrics, ConnectionCounts, Latencies};
+use crate::metrics::{encode_metrics, ConnectionTotals, Latencies};
 use async_channel::{Receiver, Sender};
-use ottersail_cores::Room;
+use ottersail_cores::OwnerLoad;
 use ottersail_front::ids::ViewingId;
-use ottersail_front::tape::{Scribe, Told};
-use ottersail_front::{AskId, Front, Ms};
-use ottersail_net::{slept, Clock, Server, Timer};
+use ottersail_front::recording::{EffectRecorder, FrontInput};
+use ottersail_front::{Front, Ms, RequestId};
+use ottersail_net::{idle_time, Clock, ConnectionCounts, Timer};
 use output::CommandOutput;
 pub use record::EventRecorder;
 use std::cell::{Cell, OnceCell, RefCell};
@@ -38,13 +38,13 @@
     last_event_ms: Cell<f64>,
     recorder: RefCell<Option<EventRecorder>>,
     /// Requests that the front has accepted and not answered yet.
-    requests: RefCell<BTreeMap<AskId, TracedRequest>>,
+    requests: RefCell<BTreeMap<RequestId, TracedRequest>>,
     cores: Vec<Arc<CoreState>>,
     /// The core that sends a viewing's commands, from its first set-up on. All commands of one viewing go
     /// through one core, so that they stay in order: a set-up is closed before the next one is sent, even if
     /// the core stalls in between.
     core_by_viewing: RefCell<BTreeMap<ViewingId, usize>>,
-    room: RefCell<Room>,
+    load: RefCell<OwnerLoad>,
     /// `core_by_viewing` is cleaned up once it has this many entries.
     cleanup_at: Cell<usize>,
     /// When the timer fires next, in milliseconds since 1970.
@@ -52,7 +52,7 @@
     reset_timer_sender: Sender<()>,
     reset_timer_receiver: Receiver<()>,
     latencies: Latencies,
-    server: Arc<Server>,
+    server: Arc<ConnectionCounts>,
     /// The fleet, if this manager is a member of one. The front knows only this manager's share of the total.
     pub fleet: OnceCell<Rc<Fleet>>,
     /// Total time spent in the front.
@@ -67,7 +67,7 @@
         recorder: Option<EventRecorder>,
         cores: Vec<Arc<CoreState>>,
         latencies: Latencies,
-        server: Arc<Server>,
+        server: Arc<ConnectionCounts>,
     ) -> Rc<PlacementOwner> {
         let (reset_timer_sender, reset_timer_receiver) = async_channel::bounded(1);
         Rc::new(PlacementOwner {
@@ -78,7 +78,7 @@
             requests: RefCell::default(),
             cores,
             core_by_viewing: RefCell::default(),
-            room: RefCell::new(Room::new(clock.now())),
+            load: RefCell::new(OwnerLoad::new(clock.now())),
             cleanup_at: Cell::new(MIN_ASSIGNMENTS_BEFORE_CLEANUP),
             timer_due_ms: Cell::new(f64::INFINITY),
             reset_timer_sender,
@@ -98,7 +98,7 @@
                 OwnerMessage::Event { event, request } => self.process_event(event, request),
                 OwnerMessage::Metrics(sender) => {
                     let connections =
-                        ConnectionCounts { open: self.server.open(), refused: self.server.turned_away() };
+                        ConnectionTotals { open: self.server.open(), refused: self.server.turned_away() };
                     let text = self.with_front(|front| {
                         let fleet = self.fleet.get().map(|fleet| &**fleet);
                         encode_metrics(front, &self.latencies, &connections, &self.cores, fleet)
@@ -114,36 +114,45 @@
         }
     }
 
-    fn process_event(&self, event: Told, request: Option<TracedRequest>) {
-        if let (Some(request), Told::Asked { ask, .. } | Told::Reloaded { ask, .. }) = (request, &event) {
+    fn process_event(&self, event: FrontInput, request: Option<TracedRequest>) {
+        if let (
+            Some(request),
+            FrontInput::TitleRequested { request: request_id, .. }
+            | FrontInput::PlaylistRequested { request: request_id, .. },
+        ) = (request, &event)
+        {
             if !request.pending.claim.take() {
                 // The request was answered while it waited for the owner; nothing may be done for it now.
                 return;
             }
-            self.requests.borrow_mut().insert(*ask, request);
+            self.requests.borrow_mut().insert(*request_id, request);
         }
-        if let (Told::Asked { .. }, Some(fleet)) = (&event, self.fleet.get()) {
-            fleet.arrived();
+        if let (FrontInput::TitleRequested { .. }, Some(fleet)) = (&event, self.fleet.get()) {
+            fleet.viewing_requested();
         }
-        if let Told::Left { ask } = &event {
-            self.requests.borrow_mut().remove(ask);
+        if let FrontInput::RequestClosed { request: request_id } = &event {
+            self.requests.borrow_mut().remove(request_id);
         }
         self.handle(&event);
     }
 
     /// Passes an event to the front and carries out what the front asks for.
-    pub fn handle(&self, event: &Told) {
+    pub fn handle(&self, event: &FrontInput) {
         let now = self.clock.now().max(self.last_event_ms.get());
         self.last_event_ms.set(now);
         let began = Instant::now();
         let mut front = self.front.borrow_mut();
         let mut recorder = self.recorder.borrow_mut();
         match recorder.as_mut() {
-            None => event.tell(&mut front, Ms(now), &mut CommandOutput(self)),
+            None => event.apply(&mut front, Ms(now), &mut CommandOutput(self)),
             Some(open_recorder) => {
                 let mut lines = Vec::new();
                 let mut output = CommandOutput(self);
-                event.tell(&mut front, Ms(now), &mut Scribe { lines: &mut lines, out: Some(&mut output) });
+                event.apply(
+                    &mut front,
+                    Ms(now),
+                    &mut EffectRecorder { lines: &mut lines, effects: Some(&mut output) },
+                );
                 if let Err(error) = open_recorder.append(now, self.core_of_event(event), event, &lines) {
                     warn!(%error, "cannot write the record any more; it ends here");
                     *recorder = None;
@@ -151,7 +160,7 @@
             }
         }
         self.time_in_front.set(self.time_in_front.get() + began.elapsed());
-        let due = front.next_due().map_or(f64::INFINITY, |due| due.0);
+        let due = front.next_timer().map_or(f64::INFINITY, |due| due.0);
         if due < self.timer_due_ms.get() {
             _ = self.reset_timer_sender.try_send(());
         }
@@ -175,7 +184,7 @@
     /// Calls the front whenever one of its timers is due, until the process ends.
     pub async fn run_timers(self: Rc<PlacementOwner>) {
         loop {
-            let due = self.with_front(|front| front.next_due()).map_or(f64::INFINITY, |due| due.0);
+            let due = self.with_front(|front| front.next_timer()).map_or(f64::INFINITY, |due| due.0);
             self.timer_due_ms.set(due);
             let wait = async {
                 if due.is_finite() {
@@ -188,8 +197,8 @@
                 _ = self.reset_timer_receiver.recv().await;
             })
             .await;
-            if self.with_front(|front| front.next_due()).is_some_and(|due| due.0 <= self.clock.now()) {
-                self.handle(&Told::TimeHasCome);
+            if self.with_front(|front| front.next_timer()).is_some_and(|due| due.0 <= self.clock.now()) {
+                self.handle(&FrontInput::TimersDue);
             }
             self.clean_up_assignments();
             // Yields to other tasks between two timers, however many are due.
@@ -197,15 +206,17 @@
         }
     }
 
-    fn core_of_event(&self, event: &Told) -> usize {
+    fn core_of_event(&self, event: &FrontInput) -> usize {
         match event {
-            Told::Asked { ask, .. } | Told::Reloaded { ask, .. } | Told::Left { ask } => {
-                ask.0 as usize % self.cores.len()
+            FrontInput::TitleRequested { request: request_id, .. }
+            | FrontInput::PlaylistRequested { request: request_id, .. }
+            | FrontInput::RequestClosed { request: request_id } => request_id.0 as usize % self.cores.len(),
+            FrontInput::SetUpEnded { viewing, .. }
+            | FrontInput::RungChanged { viewing, .. }
+            | FrontInput::EndConfirmed { viewing } => self.core_by_hash(viewing),
+            FrontInput::NoteReceived { server, .. } | FrontInput::ServerLost { server } => {
+                self.core_by_hash(server)
             }
-            Told::SetUpEnded { vw, .. } | Told::RungChanged { vw, .. } | Told::LetGo { vw } => {
-                self.core_by_hash(vw)
-            }
-            Told::Noted { server, .. } | Told::ServerLost { server } => self.core_by_hash(server),
             _ => 0,
         }
     }
@@ -221,11 +232,11 @@
     }
 
     /// Chooses the core that sends a viewing's commands, unless one is chosen already.
-    fn assign_core(&self, viewing: &ViewingId, ask: Option<AskId>) {
-        let requesting_core = ask.map_or(0, |ask| ask.0 as usize % self.cores.len());
-        let mut room = self.room.borrow_mut();
-        room.look(self.clock.now(), slept().as_secs_f64() * 1e3);
-        let core = room.home(requesting_core);
+    fn assign_core(&self, viewing: &ViewingId, request_id: Option<RequestId>) {
+        let requesting_core = request_id.map_or(0, |request_id| request_id.0 as usize % self.cores.len());
+        let mut load = self.load.borrow_mut();
+        load.sample(self.clock.now(), idle_time().as_secs_f64() * 1e3);
+        let core = load.core_for(requesting_core);
         self.core_by_viewing.borrow_mut().entry(viewing.clone()).or_insert(core);
     }
 
@@ -234,7 +245,7 @@
         let mut assignments = self.core_by_viewing.borrow_mut();
         if assignments.len() >= self.cleanup_at.get() {
             let front = self.front.borrow();
-            assignments.retain(|viewing, _| front.holds(viewing));
+            assignments.retain(|viewing, _| front.holds_viewing(viewing));
             self.cleanup_at.set((assignments.len() * 2).max(MIN_ASSIGNMENTS_BEFORE_CLEANUP));
         }
     }
--- a/daemon/src/owner/record.rs
+++ b/daemon/src/owner/record.rs
@@ -1,6 +1,6 @@
 //! The record of a manager: one line for each event that the front handled, for `ottersail replay`.
 
-use ottersail_front::tape::Told;
+use ottersail_front::recording::FrontInput;
 use std::fs::File;
 use std::io::{BufWriter, Write};
 use std::path::Path;
@@ -25,7 +25,7 @@
         &mut self,
         at: f64,
         core: usize,
-        event: &Told,
+        event: &FrontInput,
         orders: &[String],
     ) -> std::io::Result<()> {
         let line = serde_json::json!({ "at": at, "core": core, "told": event, "wanted": orders });
--- a/daemon/src/rehearse.rs
+++ b/daemon/src/rehearse.rs
@@ -39,7 +39,7 @@
         plan.day.seed = seed;
     }
     if let Some(managers) = options.managers.filter(|it| *it > 0) {
-        (plan.day.managers, plan.terms.managers) = (managers, managers as f64);
+        (plan.day.managers, plan.terms.manager_count) = (managers, managers as f64);
     }
     plan.pick = options.pick.unwrap_or(plan.pick);
     plan.one_seed &= options.pick.is_none();
--- a/daemon/src/replay.rs
+++ b/daemon/src/replay.rs
@@ -4,7 +4,7 @@
 use crate::error::ReplayError;
 use crate::run::{front_settings, DiscardOutput};
 use crate::settings::manager::parse_manager;
-use ottersail_front::tape::{Scribe, Told};
+use ottersail_front::recording::{EffectRecorder, FrontInput};
 use ottersail_front::{Front, Ms};
 use ottersail_signed_urls::Keys;
 use serde::Deserialize;
@@ -35,7 +35,7 @@
     /// Time of the event, in milliseconds since 1970.
     at: f64,
     #[serde(rename = "told")]
-    event: Told,
+    event: FrontInput,
     #[serde(rename = "wanted")]
     orders: Vec<String>,
 }
@@ -95,7 +95,11 @@
             return Err(ReplayError::MissingHeader { file: file(), line });
         };
         let mut orders = Vec::new();
-        recorded.event.tell(front, Ms(recorded.at), &mut Scribe { lines: &mut orders, out: None });
+        recorded.event.apply(
+            front,
+            Ms(recorded.at),
+            &mut EffectRecorder { lines: &mut orders, effects: None },
+        );
         if orders != recorded.orders {
             let (actual, recorded) = first_difference(&orders, &recorded.orders);
             return Err(ReplayError::Mismatch { file: file(), line, actual, recorded });
--- a/daemon/src/run.rs
+++ b/daemon/src/run.rs
@@ -18,9 +18,9 @@
 use futures_lite::StreamExt;
 use ottersail_front::baseline::{Baseline, Pick};
 use ottersail_front::decisions::Decisions;
-use ottersail_front::tape::Told;
-use ottersail_front::{Answers, Front, House, Ms};
-use ottersail_membership::Life;
+use ottersail_front::recording::FrontInput;
+use ottersail_front::{Front, FrontSettings, Ms, PlacementActions};
+use ottersail_membership::InstanceId;
 use ottersail_net::{block_on, executor, Clock, Timer};
 use ottersail_signed_urls::Keys;
 use process::end_with_parent;
@@ -60,7 +60,7 @@
     let keys = std::fs::read_to_string(&manager.keys).map_err(|error| failed(error.to_string()))?;
     let keys = Keys::read(&keys).map_err(|error| failed(error.to_string()))?;
     manager.members.as_ref().map(load_member_keys).transpose()?;
-    fleet::terms(&manager, Life(0))?;
+    fleet::member_terms(&manager, InstanceId(0))?;
     Ok(LoadedSettings { text, manager, keys })
 }
 
@@ -75,15 +75,15 @@
 }
 
 /// The front's part of a manager's settings.
-pub fn front_settings(manager: &ManagerSettings, keys: Keys) -> House {
-    House {
+pub fn front_settings(manager: &ManagerSettings, keys: Keys) -> FrontSettings {
+    FrontSettings {
         url: manager.url.clone(),
         keys,
-        ticket_s: manager.ticket_s,
-        most_waiting: manager.most_waiting,
-        most_watches: manager.most_watches,
-        send_within: manager.links.send_within,
-        linger: manager.links.linger,
+        ticket_lifetime_s: manager.ticket_s,
+        max_waiting: manager.most_waiting,
+        max_watches: manager.most_watches,
+        max_send_delay: manager.links.send_within,
+        end_timeout: manager.links.linger,
     }
 }
 
@@ -138,10 +138,10 @@
         None => Front::new(now, seed, terms, settings, &mut DiscardOutput),
         Some(pick) => {
             warn!(?pick, "using a baseline policy, for comparison: of all rules it keeps only floors");
-            let baseline = move |terms, _: &mut dyn Answers| -> Box<dyn Decisions> {
+            let baseline = move |terms, _: &mut dyn PlacementActions| -> Box<dyn Decisions> {
                 Box::new(Baseline::new(terms, pick, seed))
             };
-            Front::with(now, terms, settings, &mut DiscardOutput, baseline)
+            Front::with_decisions(now, terms, settings, &mut DiscardOutput, baseline)
         }
     };
     let header =
@@ -159,7 +159,7 @@
         releases::read_orders(&manager, &owner);
     }
     let (listen, cores) = (&manager.listen, manager.cores);
-    info!(listen, cores, managers = manager.terms.managers, number = manager.terms.me.0, "running");
+    info!(listen, cores, managers = manager.terms.manager_count, number = manager.terms.manager.0, "running");
 
     block_on(exec.run(async {
         let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup, Signal::Usr1])
@@ -194,7 +194,7 @@
 
 /// Accepts no more requests, leaves the fleet, and waits until all waiting requests are answered.
 async fn drain(owner: &Rc<PlacementOwner>) {
-    owner.handle(&Told::Drain);
+    owner.handle(&FrontInput::Drain);
     // Limited to the time that writing the last answers takes anyway: the drain does not wait for the council.
     let left_fleet = async {
         if let Some(fleet) = owner.fleet.get() {
@@ -202,7 +202,7 @@
         }
     };
     let requests_answered = async {
-        while owner.with_front(|front| front.waiting()) > 0 {
+        while owner.with_front(|front| front.waiting_requests()) > 0 {
             Timer::after(DRAIN_CHECK_INTERVAL).await;
         }
         Timer::after(FLUSH_TIME).await;
--- a/daemon/src/run/releases.rs
+++ b/daemon/src/run/releases.rs
@@ -23,7 +23,7 @@
     match load_orders(file) {
         Ok(orders) => {
             if let Some(order) = orders.release {
-                fleet.order(order);
+                fleet.submit_order(order);
             }
             if orders.drain.is_some() {
                 error!(target: "releases", "this version does not carry out [drain]; take it out of the file");
@@ -41,7 +41,7 @@
 /// fleet.
 pub(super) async fn wait_for_permit(owner: &Rc<PlacementOwner>) -> Option<Name> {
     match owner.fleet.get() {
-        Some(fleet) => fleet.goes_out().await,
+        Some(fleet) => fleet.departure().await,
         None => std::future::pending().await,
     }
 }
@@ -49,7 +49,7 @@
 /// Waits until no viewing plays here any more, but at most `limit`.
 pub(super) async fn wait_for_viewings(owner: &Rc<PlacementOwner>, limit: Ms) -> Option<Name> {
     let all_ended = async {
-        while owner.with_front(|front| front.viewings()) > 0 {
+        while owner.with_front(|front| front.viewing_count()) > 0 {
             Timer::after(VIEWINGS_CHECK_INTERVAL).await;
         }
     };
--- a/daemon/src/run/reload.rs
+++ b/daemon/src/run/reload.rs
@@ -29,7 +29,7 @@
             releases::read_orders(&next, &running.owner);
             // The record has signed addresses but no keys, so it could not be replayed with new keys.
             running.owner.end_record();
-            running.owner.with_front(|front| front.refit(front_settings(&next, keys.clone())));
+            running.owner.with_front(|front| front.update_settings(front_settings(&next, keys.clone())));
             running.shared.keys.store(Arc::new(keys));
             info!("settings taken over");
         }
--- a/daemon/src/run/start.rs
+++ b/daemon/src/run/start.rs
@@ -10,10 +10,11 @@
 use crate::worker::{Catalogue, Shared, Worker};
 use arc_swap::ArcSwap;
 use async_channel::Receiver;
-use ottersail_cores::Spread;
+use ottersail_cores::ConnectionBalancer;
 use ottersail_front::Front;
 use ottersail_net::{
-    accept, block_on, executor, listen, serve_one, Accepted, Clock, Exec, Limits, Listener, Nursery, Server,
+    accept, block_on, executor, listen, serve_connection, Accepted, Clock, ConnectionCounts, Executor,
+    Limits, Listener, TaskGroup,
 };
 use ottersail_signed_urls::Keys;
 use std::net::SocketAddr;
@@ -33,7 +34,7 @@
 pub struct RunningManager {
     pub owner: Rc<PlacementOwner>,
     pub shared: Arc<Shared>,
-    pub server: Arc<Server>,
+    pub server: Arc<ConnectionCounts>,
 }
 
 /// Starts all tasks of a manager. Those of the owner and of the first core run on the given executor, those
@@ -42,7 +43,7 @@
 /// # Errors
 /// If the manager's address is invalid or in use, or a thread can't be started.
 pub fn start(
-    exec: Exec,
+    exec: Executor,
     clock: Clock,
     manager: &ManagerSettings,
     keys: Keys,
@@ -54,7 +55,7 @@
         .parse()
         .map_err(|cause| RunError::Address { address: manager.listen.clone(), cause })?;
     let listener = listen(address).map_err(|cause| RunError::Listen { address, cause })?;
-    let limits = Limits { connections: manager.connections, head: REQUEST_HEAD_TIMEOUT };
+    let limits = Limits { connections: manager.connections, head_timeout: REQUEST_HEAD_TIMEOUT };
     let (owner_queue, owner_messages) = async_channel::bounded(OWNER_QUEUE_CAPACITY);
     let cores: Vec<Arc<CoreState>> = (0..manager.cores).map(|_| Arc::default()).collect();
     cores.iter().for_each(|core| core.record_heartbeat(clock.now()));
@@ -69,7 +70,7 @@
         cores: cores.clone(),
         owner_queue,
     });
-    let server = Server::new();
+    let server = ConnectionCounts::new();
     let owner = PlacementOwner::new(clock, front, recorder, cores, latencies, server.clone());
     exec.spawn(owner.clone().process_messages(owner_messages)).detach();
     exec.spawn(owner.clone().run_timers()).detach();
@@ -92,14 +93,14 @@
             thread.map_err(|cause| RunError::Thread { name: format!("core-{index}"), cause })?;
         }
     }
-    let (spread, dispatch_shared) = (Spread::new(manager.cores), shared.clone());
+    let (balancer, dispatch_shared) = (ConnectionBalancer::new(manager.cores), shared.clone());
     let dispatch = move |accepted: Accepted| {
         let cores = &dispatch_shared.cores;
         let open: Vec<usize> =
             cores.iter().map(|core| core.open_connections.load(Ordering::Relaxed)).collect();
         let now = dispatch_shared.clock.now();
         let stalled: Vec<bool> = cores.iter().map(|core| core.is_stalled(now)).collect();
-        let index = spread.next(&open, &stalled);
+        let index = balancer.next(&open, &stalled);
         cores[index].open_connections.fetch_add(1, Ordering::Relaxed);
         core_inboxes[index].try_send(accepted).map_err(|error| {
             cores[index].open_connections.fetch_sub(1, Ordering::Relaxed);
@@ -109,7 +110,7 @@
     let accept_server = server.clone();
     if manager.cores == 1 {
         let listener = Listener::new(listener).map_err(|cause| RunError::WatchListener { address, cause })?;
-        exec.spawn(accept(Nursery::new(exec), listener, limits, accept_server, dispatch)).detach();
+        exec.spawn(accept(TaskGroup::new(exec), listener, limits, accept_server, dispatch)).detach();
     } else {
         // Connections are accepted on a thread of their own, so that no stalled core delays new ones.
         let accept_connections = move || {
@@ -118,7 +119,7 @@
                 error!("cannot accept connections: the listener cannot be registered for events");
                 return;
             };
-            block_on(exec.run(accept(Nursery::new(exec), listener, limits, accept_server, dispatch)));
+            block_on(exec.run(accept(TaskGroup::new(exec), listener, limits, accept_server, dispatch)));
         };
         let thread = std::thread::Builder::new().name("accept".into()).spawn(accept_connections);
         thread.map_err(|cause| RunError::Thread { name: "accept".into(), cause })?;
@@ -128,7 +129,7 @@
 
 /// Starts the tasks of one core.
 fn start_core(
-    exec: Exec,
+    exec: Executor,
     index: usize,
     shared: Arc<Shared>,
     incoming: Receiver<Accepted>,
@@ -142,13 +143,13 @@
         exec.spawn(stalled_cores::watch(shared.clone(), index)).detach();
     }
     let service = Rc::new(Service { worker: worker.clone() });
-    let nursery = Nursery::new(exec);
+    let tasks = TaskGroup::new(exec);
     exec.spawn(async move {
         while let Ok(accepted) = incoming.recv().await {
             let service = service.clone();
             let core = shared.cores[index].clone();
             let handler = move |request, connection| service.clone().answer(request, connection);
-            serve_one(&nursery, accepted, limits, handler, move || {
+            serve_connection(&tasks, accepted, limits, handler, move || {
                 core.open_connections.fetch_sub(1, Ordering::Relaxed);
             });
         }
--- a/daemon/src/service.rs
+++ b/daemon/src/service.rs
@@ -1,14 +1,14 @@
 //! The HTTP interface for players and operators.
 
-use crate::fleet::MEMBER;
+use crate::fleet::MEMBER_HEADER;
 use crate::worker::Worker;
 use form_urlencoded::parse;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CACHE_CONTROL, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Method, Request, Response, StatusCode};
-use ottersail_front::tape::Told;
-use ottersail_front::{Asked, Reply, WatchId};
-use ottersail_net::{whole, Body, Line};
+use ottersail_front::recording::FrontInput;
+use ottersail_front::{Reply, TitleRequest, WatchId};
+use ottersail_net::{full_body, Body, ConnectionHandle};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
@@ -36,18 +36,22 @@
 struct RequestContext {
     query: BTreeMap<String, String>,
     traceparent: String,
-    connection: Line,
+    connection: ConnectionHandle,
 }
 
 fn text_response(status: StatusCode, text: impl Into<String>) -> Response<Body> {
-    let mut response = Response::new(whole(text.into() + "\n"));
+    let mut response = Response::new(full_body(text.into() + "\n"));
     *response.status_mut() = status;
     response
 }
 
 impl Service {
-    /// Answers one request.
-    pub async fn answer(self: Rc<Service>, request: Request<Incoming>, connection: Line) -> Response<Body> {
+    /// PlacementActions one request.
+    pub async fn answer(
+        self: Rc<Service>,
+        request: Request<Incoming>,
+        connection: ConnectionHandle,
+    ) -> Response<Body> {
         if request.method() != Method::GET && request.method() != Method::HEAD {
             return text_response(StatusCode::METHOD_NOT_ALLOWED, "only GET is served here");
         }
@@ -70,7 +74,7 @@
         }
     }
 
-    /// Whether the manager has the list of servers and the titles. Other members ask this too when their
+    /// Whether the manager has the list of servers and the titles. Other members request_id this too when their
     /// datagrams get no answer, so the response carries this manager's member id.
     fn ready(&self) -> Response<Body> {
         let shared = &self.worker.shared;
@@ -81,7 +85,7 @@
         };
         let member = shared.settings.member.and_then(|id| HeaderValue::from_str(&id.to_string()).ok());
         if let Some(member) = member {
-            response.headers_mut().insert(MEMBER, member);
+            response.headers_mut().insert(MEMBER_HEADER, member);
         }
         response
     }
@@ -93,28 +97,29 @@
         let Some(package) = text("package") else {
             return text_response(StatusCode::BAD_REQUEST, "package=NAME is missing");
         };
-        let best = match query.get("best") {
+        let max_rung = match query.get("best") {
             None => Some(usize::MAX),
             Some(value) => value.parse::<u32>().ok().map(|rung| rung as usize),
         };
-        let patience =
+        let patience_ms =
             query.get("patience-ms").map_or(Some(DEFAULT_PATIENCE_MS), |value| value.parse::<f64>().ok());
-        let (Some(best), Some(patience)) = (best, patience) else {
+        let (Some(max_rung), Some(patience_ms)) = (max_rung, patience_ms) else {
             let message = "best is a rung, patience-ms a number of milliseconds";
             return text_response(StatusCode::BAD_REQUEST, message);
         };
         if title.len() > MAX_NAME_BYTES {
             return text_response(StatusCode::NOT_FOUND, "no such title");
         }
-        let asked = Asked { title: title.to_string(), package, tenant: text("tenant"), best, patience };
+        let title_request =
+            TitleRequest { title: title.to_string(), package, tenant: text("tenant"), max_rung, patience_ms };
         // The front rejects a patience that is out of range.
-        let wait = if patience.is_finite() {
-            patience.clamp(MIN_PATIENCE_MS, MAX_PATIENCE_MS)
+        let wait_ms = if patience_ms.is_finite() {
+            patience_ms.clamp(MIN_PATIENCE_MS, MAX_PATIENCE_MS)
         } else {
             MAX_PATIENCE_MS
         };
-        let event = |ask| Told::Asked { ask, asked };
-        respond(self.worker.ask(connection, traceparent, wait, event).await).await
+        let event = |request| FrontInput::TitleRequested { request, title_request };
+        respond(self.worker.submit(connection, traceparent, wait_ms, event).await).await
     }
 
     /// Returns the current playlist of a viewing.
@@ -126,10 +131,10 @@
         if let Err(denial) = checked {
             return text_response(StatusCode::FORBIDDEN, denial.to_string());
         }
-        let unread = query.get("_HLS_msn").and_then(|value| value.parse::<u64>().ok());
+        let next_sequence = query.get("_HLS_msn").and_then(|value| value.parse::<u64>().ok());
         let watch = WatchId(id.to_string());
-        let event = |ask| Told::Reloaded { ask, watch, unread };
-        respond(self.worker.ask(connection, traceparent, MAX_PATIENCE_MS, event).await).await
+        let event = |request| FrontInput::PlaylistRequested { request, watch, next_sequence };
+        respond(self.worker.submit(connection, traceparent, MAX_PATIENCE_MS, event).await).await
     }
 }
 
@@ -169,7 +174,7 @@
         return std::future::pending().await;
     };
     let ResponseParts { status, content_type, retry_after_s, body } = response_parts(reply);
-    let mut response = Response::new(whole(body));
+    let mut response = Response::new(full_body(body));
     *response.status_mut() = status;
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
--- a/daemon/src/worker.rs
+++ b/daemon/src/worker.rs
@@ -10,10 +10,10 @@
 use async_executor::Task;
 pub use discovery::Catalogue;
 use hyper::{Method, Request, StatusCode};
-use ottersail_cores::vigil;
-use ottersail_front::tape::Told;
-use ottersail_front::PROBE_PATIENCE;
-use ottersail_net::{Body, Client, Exec, Timer};
+use ottersail_cores::stall;
+use ottersail_front::recording::FrontInput;
+use ottersail_front::PROBE_TIMEOUT;
+use ottersail_net::{Body, Client, Executor, Timer};
 use ottersail_wire::report::{self, Report};
 use servers::SetUpRequest;
 pub use shared::{Shared, WorkerSettings};
@@ -36,12 +36,12 @@
 /// The tasks and connections of one core.
 pub struct Worker {
     pub shared: Arc<Shared>,
-    exec: Exec,
+    exec: Executor,
     index: usize,
     core: Arc<CoreState>,
     client: Client,
     /// Number of requests passed to the owner so far, for their ids.
-    last_ask: Cell<u64>,
+    last_request: Cell<u64>,
     /// The set-up in flight of each viewing. Dropping its task resets its connection.
     set_ups: RefCell<BTreeMap<String, Task<()>>>,
     /// The task that reads each server's notes.
@@ -60,7 +60,7 @@
 
 impl Worker {
     /// Creates the worker of the core `index`, whose tasks run on `exec`.
-    pub fn new(exec: Exec, index: usize, shared: Arc<Shared>) -> Rc<Worker> {
+    pub fn new(exec: Executor, index: usize, shared: Arc<Shared>) -> Rc<Worker> {
         let connect_timeout = Duration::from_secs_f64(shared.settings.connect.0 / 1e3);
         let client = Client::new(exec, connect_timeout, MAX_IDLE_CONNECTIONS, IDLE_CONNECTION_TIMEOUT);
         Rc::new(Worker {
@@ -69,7 +69,7 @@
             core: shared.cores[index].clone(),
             client: client.resetting(),
             shared,
-            last_ask: Cell::new(0),
+            last_request: Cell::new(0),
             set_ups: RefCell::default(),
             note_streams: RefCell::default(),
             ends_in_flight: Cell::new(0),
@@ -84,7 +84,7 @@
         self.exec.spawn(future).detach();
     }
 
-    async fn send_event(&self, event: Told) {
+    async fn send_event(&self, event: FrontInput) {
         _ = self.shared.owner_queue.send(OwnerMessage::Event { event, request: None }).await;
     }
 
@@ -92,7 +92,7 @@
     pub async fn send_heartbeats(self: Rc<Worker>) {
         loop {
             self.core.record_heartbeat(self.now());
-            Timer::after(Duration::from_secs_f64(vigil::PULSE / 1e3)).await;
+            Timer::after(Duration::from_secs_f64(stall::HEARTBEAT_INTERVAL_MS / 1e3)).await;
         }
     }
 
@@ -109,17 +109,17 @@
     fn run_command(self: &Rc<Worker>, command: CoreCommand) {
         let worker = self.clone();
         match command {
-            CoreCommand::SetUp { viewing, number, address, path, traceparent, send_by_ms } => {
+            CoreCommand::SetUp { viewing, tune_in, address, path, traceparent, send_by_ms } => {
                 let key = viewing.clone();
-                let set_up = SetUpRequest { viewing, number, address, path, traceparent, send_by_ms };
+                let set_up = SetUpRequest { viewing, tune_in, address, path, traceparent, send_by_ms };
                 let task = self.exec.spawn(worker.send_set_up(set_up));
                 self.set_ups.borrow_mut().insert(key, task);
             }
-            CoreCommand::CancelSetUp { viewing, number, address } => {
+            CoreCommand::CancelSetUp { viewing, tune_in, address } => {
                 // Dropping the task resets its connection, so that a set-up that is still in transit
                 // does not reach the server.
                 drop(self.set_ups.borrow_mut().remove(&viewing));
-                self.spawn_end(address, format!("/viewings/{vw}/{no}", vw = viewing, no = number), None);
+                self.spawn_end(address, format!("/viewings/{vw}/{no}", vw = viewing, no = tune_in), None);
             }
             CoreCommand::ChangeRung { viewing, address, rung } => self.spawn(async move {
                 let path = format!("/viewings/{vw}/rung/{rung}", vw = viewing);
@@ -131,10 +131,10 @@
                     }
                     _ => None,
                 };
-                worker.send_event(Told::RungChanged { vw: viewing, rung, playlist }).await;
+                worker.send_event(FrontInput::RungChanged { viewing, rung, playlist }).await;
             }),
             CoreCommand::EndViewing { viewing, address } => {
-                let event = Told::LetGo { vw: viewing.clone() };
+                let event = FrontInput::EndConfirmed { viewing: viewing.clone() };
                 self.spawn_end(address, format!("/viewings/{vw}", vw = viewing), Some(event));
             }
             CoreCommand::OpenNoteStream { server, address } => {
@@ -142,14 +142,14 @@
                 self.note_streams.borrow_mut().insert(server, task);
             }
             CoreCommand::Probe { server, address } => self.spawn(async move {
-                let timeout = Duration::from_secs_f64(PROBE_PATIENCE.0 / 1e3);
+                let timeout = Duration::from_secs_f64(PROBE_TIMEOUT.0 / 1e3);
                 let request = worker.request(Method::GET, &address, "/load");
                 let response = worker.client.exchange(&address, request, MAX_RESPONSE_BYTES, || true);
                 let answer = within(timeout, response).await.and_then(Result::ok);
                 let answer = answer.filter(|answer| answer.status == StatusCode::NO_CONTENT);
                 let report = answer
                     .and_then(|answer| answer.headers.get(report::HEADER)?.to_str().ok().map(Report::read));
-                worker.send_event(Told::Probed { server, report }).await;
+                worker.send_event(FrontInput::ProbeEnded { server, report }).await;
             }),
             CoreCommand::Stall { ms } => std::thread::sleep(Duration::from_millis(ms)),
             CoreCommand::CloseNoteStream { server } => drop(self.note_streams.borrow_mut().remove(&server)),
--- a/daemon/src/worker/discovery.rs
+++ b/daemon/src/worker/discovery.rs
@@ -2,7 +2,7 @@
 
 use super::{within, Worker};
 use hyper::{Method, StatusCode};
-use ottersail_front::tape::Told;
+use ottersail_front::recording::FrontInput;
 use ottersail_net::Timer;
 use ottersail_wire::catalogue::{self, read_servers, read_titles, INDEX_HEADER};
 use std::rc::Rc;
@@ -51,9 +51,9 @@
                     }
                     let event = if servers {
                         read_servers(&answer.body)
-                            .map(|list| Told::Listed { index: index.unwrap_or(0), list })
+                            .map(|list| FrontInput::ServersListed { index: index.unwrap_or(0), list })
                     } else {
-                        read_titles(&answer.body).map(|titles| Told::Titled { titles })
+                        read_titles(&answer.body).map(|titles| FrontInput::TitlesListed { titles })
                     };
                     match (event, index) {
                         (Ok(event), Some(index)) => {
@@ -76,7 +76,7 @@
             let list = &settings.list;
             warn!(%list, servers, cause, "cannot get the list; keeping the last one");
             if servers {
-                self.send_event(Told::ListFailed).await;
+                self.send_event(FrontInput::ListFailed).await;
             }
             Timer::after(Duration::from_secs_f64(settings.list_retry.0 / 1e3)).await;
         }
--- a/daemon/src/worker/servers.rs
+++ b/daemon/src/worker/servers.rs
@@ -2,7 +2,7 @@
 
 use super::{within, Worker, END_TIMEOUT, MAX_RESPONSE_BYTES};
 use hyper::{Method, StatusCode};
-use ottersail_front::tape::Told;
+use ottersail_front::recording::FrontInput;
 use ottersail_front::SetUpEnd;
 use ottersail_net::{Failure, Timer};
 use ottersail_wire::notes::{Note, Reader};
@@ -21,8 +21,8 @@
 /// A set-up to be sent to a server.
 pub(super) struct SetUpRequest {
     pub viewing: String,
-    /// Number of the set-up within its viewing.
-    pub number: usize,
+    /// Number of the tune-in within its viewing.
+    pub tune_in: usize,
     pub address: String,
     pub path: String,
     pub traceparent: String,
@@ -33,7 +33,7 @@
 impl Worker {
     /// Sends a set-up and reports its result to the owner.
     pub(super) async fn send_set_up(self: Rc<Worker>, set_up: SetUpRequest) {
-        let SetUpRequest { viewing, number, address, path, traceparent, send_by_ms } = set_up;
+        let SetUpRequest { viewing, tune_in, address, path, traceparent, send_by_ms } = set_up;
         let mut request = self.request(Method::PUT, &address, &path);
         if let Ok(traceparent) = traceparent.parse() {
             request.headers_mut().insert("traceparent", traceparent);
@@ -64,7 +64,7 @@
         let own_task = self.set_ups.borrow_mut().remove(&viewing);
         // The event is sent by another task, because dropping `own_task` cancels this one.
         let worker = self.clone();
-        let event = Told::SetUpEnded { vw: viewing, no: number, end, report: load };
+        let event = FrontInput::SetUpEnded { viewing, tune_in, end, report: load };
         self.spawn(async move { worker.send_event(event).await });
         drop(own_task);
     }
@@ -85,7 +85,7 @@
 
     /// Starts a task that tells a server that a viewing has ended, and sends `event` to the owner once the
     /// server has answered.
-    pub(super) fn spawn_end(self: &Rc<Worker>, address: String, path: String, event: Option<Told>) {
+    pub(super) fn spawn_end(self: &Rc<Worker>, address: String, path: String, event: Option<FrontInput>) {
         if self.ends_in_flight.get() >= MAX_ENDS_IN_FLIGHT {
             debug!(path, "too many ends in flight; leaving this one to the server's lease");
             return;
@@ -120,7 +120,7 @@
                 let mut notes = Vec::new();
                 let parsed = reader.take(&bytes, |note| notes.push(note));
                 for note in notes.into_iter().filter(|note| *note != Note::Alive) {
-                    self.send_event(Told::Noted { server: server.clone(), note }).await;
+                    self.send_event(FrontInput::NoteReceived { server: server.clone(), note }).await;
                 }
                 if parsed.is_err() {
                     warn!(server, "cannot parse the server's notes; closing its stream");
@@ -128,6 +128,6 @@
                 }
             }
         }
-        self.send_event(Told::ServerLost { server }).await;
+        self.send_event(FrontInput::ServerLost { server }).await;
     }
 }
--- a/daemon/src/worker/shared.rs
+++ b/daemon/src/worker/shared.rs
@@ -54,7 +54,7 @@
     fn from(settings: &ManagerSettings) -> WorkerSettings {
         let member = settings.members.as_ref();
         WorkerSettings {
-            manager: settings.terms.me.0,
+            manager: settings.terms.manager.0,
             list: settings.links.list.clone(),
             service: settings.links.service.clone(),
             list_wait: settings.links.list_wait,
