--- a/cores/src/connection_balancer.rs
+++ b/cores/src/connection_balancer.rs
@@ -1,36 +1,40 @@
-//! Which core gets the next connection: the one that has the fewest for its room. The owner of placement has
-//! less room, since every decision is made there.
+//! Decides which core gets the next connection: the one with the fewest relative to its capacity. The owner
+//! of placement has less capacity, since it makes every decision.
 
-/// A set-up's work at the owner over its work at the core that holds the connection, as measured
-/// (docs/several-cores.md): by it the owner's room is what an even share of all work leaves it.
-const OWNERS_WORK: f64 = 0.5;
+/// A set-up's work at the owner relative to its work at the core that holds the connection, as measured
+/// (docs/several-cores.md). The owner's capacity is what remains of an even share of all work.
+const OWNER_WORK: f64 = 0.5;
 
+/// Spreads connections over cores.
 #[derive(Clone, Debug)]
 pub struct ConnectionBalancer {
-    room: Vec<f64>,
+    /// The share of all connections that each core should have.
+    capacity: Vec<f64>,
 }
 
 impl ConnectionBalancer {
-    /// For so many cores, of which the first owns placement.
+    /// A balancer for this number of cores, of which the first owns placement.
     pub fn new(cores: usize) -> ConnectionBalancer {
-        let even = (1.0 + OWNERS_WORK) / cores.max(1) as f64;
-        let owner = (even - OWNERS_WORK).max(0.0);
+        let even = (1.0 + OWNER_WORK) / cores.max(1) as f64;
+        let owner = (even - OWNER_WORK).max(0.0);
         let other = (1.0 - owner) / (cores.max(2) - 1) as f64;
-        ConnectionBalancer { room: (0..cores.max(1)).map(|it| if it == 0 { owner } else { other }).collect() }
+        let capacity = (0..cores.max(1)).map(|core| if core == 0 { owner } else { other }).collect();
+        ConnectionBalancer { capacity }
     }
 
-    /// The core for the next connection, by how many each has open; those that stand still are passed over,
-    /// unless all do.
-    pub fn next(&self, open: &[usize], still: &[bool]) -> usize {
-        let filled = |it: &usize| {
-            let room = self.room[*it].max(1e-9);
-            (open.get(*it).copied().unwrap_or(0) as f64 + 1.0) / room
+    /// The core for the next connection, by the number of open connections of each. Stalled cores are
+    /// skipped, unless all are stalled.
+    pub fn next(&self, open: &[usize], stalled: &[bool]) -> usize {
+        let utilization = |core: &usize| {
+            let capacity = self.capacity[*core].max(1e-9);
+            (open.get(*core).copied().unwrap_or(0) as f64 + 1.0) / capacity
         };
-        let moves = |it: &usize| !still.get(*it).copied().unwrap_or(false);
-        let all = 0..self.room.len();
-        let able: Vec<usize> = all.clone().filter(moves).collect();
-        let from = if able.is_empty() { all.collect() } else { able };
-        from.into_iter().min_by(|a, b| filled(a).total_cmp(&filled(b))).unwrap_or(0)
+        let responsive = |core: &usize| !stalled.get(*core).copied().unwrap_or(false);
+        let all = 0..self.capacity.len();
+        let candidates: Vec<usize> = all.clone().filter(responsive).collect();
+        let candidates = if candidates.is_empty() { all.collect() } else { candidates };
+        let by_utilization = |a: &usize, b: &usize| utilization(a).total_cmp(&utilization(b));
+        candidates.into_iter().min_by(by_utilization).unwrap_or(0)
     }
 }
 
@@ -39,11 +43,11 @@
     use super::*;
     use test_case::test_case;
 
-    fn given(cores: usize, still: &[bool]) -> Vec<usize> {
-        let spread = ConnectionBalancer::new(cores);
+    fn connections_per_core(cores: usize, stalled: &[bool]) -> Vec<usize> {
+        let balancer = ConnectionBalancer::new(cores);
         let mut open = vec![0; cores];
         for _ in 0..100 {
-            let core = spread.next(&open, still);
+            let core = balancer.next(&open, stalled);
             open[core] += 1;
         }
         open
@@ -52,14 +56,14 @@
     #[test_case(1, &[] => vec![100]; "one core has all")]
     #[test_case(2, &[] => vec![25, 75]; "the owner of two has a quarter")]
     #[test_case(4, &[] => vec![0, 34, 33, 33]; "the owner of four has none")]
-    #[test_case(4, &[false, true] => vec![0, 0, 50, 50]; "none for one that stands still")]
-    #[test_case(2, &[true, true] => vec![25, 75]; "unless all do")]
-    fn connections_are_spread(cores: usize, still: &[bool]) -> Vec<usize> {
-        given(cores, still)
+    #[test_case(4, &[false, true] => vec![0, 0, 50, 50]; "none for a stalled core")]
+    #[test_case(2, &[true, true] => vec![25, 75]; "unless all are stalled")]
+    fn connections_are_balanced(cores: usize, stalled: &[bool]) -> Vec<usize> {
+        connections_per_core(cores, stalled)
     }
 
     #[test]
-    fn what_closes_is_given_again() {
+    fn a_core_whose_connection_closed_gets_the_next() {
         assert_eq!(ConnectionBalancer::new(3).next(&[0, 40, 39], &[]), 2);
     }
 }
--- a/cores/src/lib.rs
+++ b/cores/src/lib.rs
@@ -1,5 +1,6 @@
-//! What the cores of one manager share, without I/O: [`Claim`] settles who answers a request, [`ConnectionBalancer`]
-//! which core gets a connection, [`WakeFlag`] whether a thread must be woken.
+//! What the cores of one manager share, without I/O: [`Claim`] decides which core answers a request,
+//! [`ConnectionBalancer`] which core gets a connection, [`OwnerLoad`] which core runs a viewing's requests to
+//! its server, and [`WakeFlag`] whether a thread must be woken.
 
 mod claim;
 mod connection_balancer;
--- a/cores/src/wake_flag.rs
+++ b/cores/src/wake_flag.rs
@@ -1,43 +1,47 @@
-//! Whether a thread that waits for its sockets must be woken for something that another thread put before it.
+//! Tells whether a thread that waits for its sockets must be woken by a system call for work that another
+//! thread has queued.
 
 #[cfg(loom)]
 use loom::sync::atomic::{AtomicU8, Ordering};
 #[cfg(not(loom))]
 use std::sync::atomic::{AtomicU8, Ordering};
 
-const RUNS: u8 = 0;
-const RUNG: u8 = 1;
-const SLEEPS: u8 = 2;
+const RUNNING: u8 = 0;
+const NOTIFIED: u8 = 1;
+const SLEEPING: u8 = 2;
 
-/// A thread that runs hears the bell by itself before it sleeps; only one that sleeps costs a system call.
+/// The state of a thread. A running thread checks for notifications before it sleeps, so only a notification
+/// of a sleeping thread costs a system call.
 #[derive(Debug)]
 pub struct WakeFlag(AtomicU8);
 
 impl WakeFlag {
+    /// The flag of a running thread.
     #[allow(clippy::new_without_default)]
     pub fn new() -> WakeFlag {
-        WakeFlag(AtomicU8::new(RUNS))
+        WakeFlag(AtomicU8::new(RUNNING))
     }
 
-    /// True if the thread sleeps, or is about to, and the caller must wake it; of several ringers one is told
-    /// so.
+    /// Notifies the thread. True if it sleeps, or is about to, and the caller must wake it; of several
+    /// callers only one gets true.
     pub fn notify(&self) -> bool {
-        self.0.swap(RUNG, Ordering::AcqRel) == SLEEPS
+        self.0.swap(NOTIFIED, Ordering::AcqRel) == SLEEPING
     }
 
-    /// True if it was rung since; the thread sees what was put down before, and goes on.
+    /// True if there was a notification since the last call. The thread then sees what was queued before it,
+    /// and goes on running.
     pub fn take_notification(&self) -> bool {
-        self.0.swap(RUNS, Ordering::AcqRel) == RUNG
+        self.0.swap(RUNNING, Ordering::AcqRel) == NOTIFIED
     }
 
-    /// The thread lies down; false if it was rung and must not sleep.
+    /// The thread is about to sleep; false if it was notified and must not.
     pub fn begin_sleep(&self) -> bool {
-        self.0.compare_exchange(RUNS, SLEEPS, Ordering::AcqRel, Ordering::Acquire).is_ok()
+        self.0.compare_exchange(RUNNING, SLEEPING, Ordering::AcqRel, Ordering::Acquire).is_ok()
     }
 
-    /// It woke, for whatever reason. What was rung stays rung.
+    /// The thread has woken, for whatever reason. A notification is kept.
     pub fn end_sleep(&self) {
-        _ = self.0.compare_exchange(SLEEPS, RUNS, Ordering::AcqRel, Ordering::Acquire);
+        _ = self.0.compare_exchange(SLEEPING, RUNNING, Ordering::AcqRel, Ordering::Acquire);
     }
 }
 
@@ -47,14 +51,14 @@
     use super::*;
 
     #[test]
-    fn only_one_that_sleeps_is_woken_and_once() {
-        let bell = WakeFlag::new();
-        assert!(!bell.notify(), "it runs");
-        assert!(!bell.begin_sleep(), "it was rung");
-        bell.end_sleep();
-        assert!(bell.take_notification() && !bell.take_notification());
-        assert!(bell.begin_sleep());
-        assert_eq!([bell.notify(), bell.notify()], [true, false]);
+    fn only_a_sleeping_thread_is_woken_and_only_once() {
+        let flag = WakeFlag::new();
+        assert!(!flag.notify(), "the thread runs");
+        assert!(!flag.begin_sleep(), "the thread was notified");
+        flag.end_sleep();
+        assert!(flag.take_notification() && !flag.take_notification());
+        assert!(flag.begin_sleep());
+        assert_eq!([flag.notify(), flag.notify()], [true, false]);
     }
 }
 
@@ -66,44 +70,44 @@
     use loom::sync::Arc;
     use loom::thread;
 
-    /// Ringers put something down and ring. The sleeper either sees all of it or has been woken after it lay
-    /// down.
-    fn ringers(count: usize) {
+    /// Notifiers queue something and notify. The sleeping thread has either seen all of it or is woken after
+    /// it began to sleep.
+    fn check_notifiers(count: usize) {
         loom::model(move || {
-            let (bell, put, woken) =
+            let (flag, queued, woken) =
                 (Arc::new(WakeFlag::new()), Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
             let threads: Vec<_> = (0..count)
                 .map(|_| {
-                    let (bell, put, woken) = (bell.clone(), put.clone(), woken.clone());
+                    let (flag, queued, woken) = (flag.clone(), queued.clone(), woken.clone());
                     thread::spawn(move || {
-                        put.fetch_add(1, Ordering::SeqCst);
-                        if bell.notify() {
+                        queued.fetch_add(1, Ordering::SeqCst);
+                        if flag.notify() {
                             woken.fetch_add(1, Ordering::SeqCst);
                         }
                     })
                 })
                 .collect();
             let mut seen = 0;
-            if bell.take_notification() {
-                seen = put.load(Ordering::SeqCst);
+            if flag.take_notification() {
+                seen = queued.load(Ordering::SeqCst);
             }
-            let sleeps = bell.begin_sleep();
-            threads.into_iter().for_each(|it| it.join().unwrap());
+            let sleeping = flag.begin_sleep();
+            threads.into_iter().for_each(|thread| thread.join().unwrap());
             let woken = woken.load(Ordering::SeqCst);
-            assert!(woken <= usize::from(sleeps), "one waking a sleep");
-            if sleeps && seen < count {
-                assert_eq!(woken, 1, "it would sleep on what it has not seen");
+            assert!(woken <= usize::from(sleeping), "at most one wake per sleep");
+            if sleeping && seen < count {
+                assert_eq!(woken, 1, "the thread would sleep without having seen all");
             }
         });
     }
 
     #[test]
     fn two_cores() {
-        ringers(1);
+        check_notifiers(1);
     }
 
     #[test]
     fn three_cores() {
-        ringers(2);
+        check_notifiers(2);
     }
 }
--- a/leases/src/balancer.rs
+++ b/leases/src/balancer.rs
@@ -1,6 +1,6 @@
-//! How many slots each member should hold, in proportion to the arrivals at it, so that slots of a quiet member
-//! are not idle while viewers of a busy one wait. Changes are slow on purpose (Slicer, Adya et al. 2016: "Slicer:
-//! Auto-sharding for datacenter applications", weighs balance against churn in the same way).
+//! How many slots each member should hold, in proportion to the arrivals at it, so that slots of a quiet
+//! member are not idle while viewers of a busy one wait. Changes are slow on purpose (Slicer, Adya et al.
+//! 2016: "Slicer: Auto-sharding for datacenter applications", weighs balance against churn in the same way).
 
 use crate::config::LeaseConfig;
 use crate::ids::MemberId;
@@ -8,8 +8,8 @@
 use ottersail::time::{DecayingSum, Ms};
 use std::collections::BTreeMap;
 
-/// Arrivals decay over this many leases: long compared with the swings of a crowd, short compared with those of
-/// a day.
+/// Arrivals decay over this many leases: long compared with the swings of a crowd, short compared with those
+/// of a day.
 const DECAY_LEASES: f64 = 6.0;
 /// Arrivals within the decay time that are added to every member's own. With few arrivals, ratios would be
 /// random and slots would move with them; with none at all, the shares are equal.
--- a/leases/src/bucket.rs
+++ b/leases/src/bucket.rs
@@ -4,8 +4,8 @@
 use crate::ids::{BucketId, Epoch, InstanceId, MemberId};
 use serde::{Deserialize, Serialize};
 
-/// Slots of one register. Each takes 22 bytes at most, so 24 take 530 with the version. 32 would take 706, more than
-/// the council's limit: its promises carry the state of every councillor besides a body.
+/// Slots of one register. Each takes 22 bytes at most, so 24 take 530 with the version. 32 would take 706,
+/// more than the council's limit: its promises carry the state of every councillor besides a body.
 pub const SLOTS_PER_BUCKET: usize = 24;
 /// The council's limit on the bytes of a body.
 pub const MAX_BODY_BYTES: usize = 600;
@@ -25,8 +25,8 @@
     }
 }
 
-/// All slots of one bucket. Each change of a slot raises its epoch by one, so that a councillor can check that no change
-/// is missing.
+/// All slots of one bucket. Each change of a slot raises its epoch by one, so that a councillor can check
+/// that no change is missing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Bucket(Vec<SlotEntry>);
 
@@ -95,7 +95,8 @@
         self.reassigned(own, None)
     }
 
-    /// Frees up to `count` slots whose holder is gone. A councillor accepts this once their leases have expired.
+    /// Frees up to `count` slots whose holder is gone. A councillor accepts this once their leases have
+    /// expired.
     pub fn expire(&self, count: usize, gone: impl Fn(MemberId, InstanceId) -> bool) -> Bucket {
         let abandoned = |entry: &SlotEntry| entry.held.is_some_and(|(id, instance)| gone(id, instance));
         let indices = self.entries().filter(|(_, entry)| abandoned(entry)).map(|(index, _)| index);
--- a/leases/src/config.rs
+++ b/leases/src/config.rs
@@ -1,5 +1,5 @@
-//! Settings that all members agree on before they start. They are integers, so that states can be compared and
-//! hashed.
+//! Settings that all members agree on before they start. They are integers, so that states can be compared
+//! and hashed.
 
 use crate::bucket::SLOTS_PER_BUCKET;
 use crate::guards::Guards;
@@ -35,14 +35,14 @@
         }
     }
 
-    /// How long a holder counts on a renewal, from when it sent the request. Shorter than the lease by the margin for
-    /// clock drift.
+    /// How long a holder counts on a renewal, from when it sent the request. Shorter than the lease by the
+    /// margin for clock drift.
     pub fn holder_lease(&self) -> Ms {
         self.lease() * (1.0 - 2.0 * self.drift())
     }
 
-    /// How long a councillor keeps a slot from others, from when it granted the renewal. Longer than the lease by the
-    /// margin for clock drift.
+    /// How long a councillor keeps a slot from others, from when it granted the renewal. Longer than the
+    /// lease by the margin for clock drift.
     pub fn councillor_lease(&self) -> Ms {
         self.lease() * (1.0 + 2.0 * self.drift())
     }
--- a/leases/src/events.rs
+++ b/leases/src/events.rs
@@ -1,4 +1,5 @@
-//! Events for metrics. Counters are kept outside the state machines, so that they are not part of their state.
+//! Events for metrics. Counters are kept outside the state machines, so that they are not part of their
+//! state.
 
 /// One event at a holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/leases/src/grants.rs
+++ b/leases/src/grants.rs
@@ -1,5 +1,6 @@
 //! The councillor's side: which leases it has renewed, and which values it therefore must not accept. This is
-//! kept in memory only; a restart that loses it is made up for by a whole lease in which no slot is reassigned.
+//! kept in memory only; a restart that loses it is made up for by a whole lease in which no slot is
+//! reassigned.
 
 use crate::bucket::{Bucket, SlotEntry};
 use crate::config::LeaseConfig;
@@ -48,8 +49,8 @@
         self.quiet_until = Timestamp(now + self.config.councillor_lease());
     }
 
-    /// Answers a holder's request, given what this councillor has accepted for each slot. To be called only by
-    /// a councillor that takes part; one that abstains does not answer.
+    /// Answers a holder's request, given what this councillor has accepted for each slot. To be called only
+    /// by a councillor that takes part; one that abstains does not answer.
     pub fn renew(
         &mut self,
         now: Ms,
@@ -70,8 +71,8 @@
         Renewed { instance: request.instance, number: request.number, refused }
     }
 
-    /// An epoch newer than the accepted one is granted: a majority of other councillors chose it, and its holder
-    /// knows of it. Refused are epochs that this councillor knows to have ended.
+    /// An epoch newer than the accepted one is granted: a majority of other councillors chose it, and its
+    /// holder knows of it. Refused are epochs that this councillor knows to have ended.
     fn may_renew(
         &self,
         slot: Slot,
@@ -110,8 +111,8 @@
             .try_for_each(|(index, entry)| self.allows_entry(now, id.slot(index), from.entry(index), *entry))
     }
 
-    /// As [`LeaseGrants::allows`], on encoded bodies as the council stores them. A body that can't be decoded is
-    /// not accepted, since it could free or reassign slots in a way that nobody can check.
+    /// As [`LeaseGrants::allows`], on encoded bodies as the council stores them. A body that can't be decoded
+    /// is not accepted, since it could free or reassign slots in a way that nobody can check.
     pub fn allows_encoded(&self, now: Ms, id: BucketId, from: &[u8], to: &[u8]) -> bool {
         let slots = self.config.slots_in(id);
         let decode = |body| Bucket::decode(id, slots, body);
--- a/leases/src/holder.rs
+++ b/leases/src/holder.rs
@@ -17,8 +17,8 @@
 /// The golden ratio in 64 bits: an odd number whose multiples differ in all bits.
 const HASH_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The slots that a member may act on: `slots` of `total`, up to but not including the time `until` of its own
-/// clock.
+/// The slots that a member may act on: `slots` of `total`, up to but not including the time `until` of its
+/// own clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SlotShare {
     pub slots: u16,
@@ -114,13 +114,14 @@
             target: 0,
             leaving: false,
             alive: BTreeMap::new(),
-            // The ids are mixed in, so that members with consecutive seeds do not all choose the same register.
+            // The ids are mixed in, so that members with consecutive seeds do not all choose the same
+            // register.
             random_state: seed ^ own_id.0 .0.wrapping_add(own_id.1 .0).wrapping_mul(HASH_MULTIPLIER) | 1,
         }
     }
 
-    /// What the member may act on at this moment. It has to be asked again at each write that depends on it: if
-    /// the process was paused past `until`, the first call after the pause returns `None`.
+    /// What the member may act on at this moment. It has to be asked again at each write that depends on it:
+    /// if the process was paused past `until`, the first call after the pause returns `None`.
     pub fn current_share(&self, now: Ms) -> Option<SlotShare> {
         let counted = || self.slots.values().filter(|own| self.counts(now, own)).map(|own| own.until);
         let until = counted().min()?;
@@ -146,8 +147,8 @@
         in_time && !(own.stopping && self.config.guards.stop_first())
     }
 
-    /// The number of slots assigned to this member that it does not mean to give back, whether their leases run
-    /// or not.
+    /// The number of slots assigned to this member that it does not mean to give back, whether their leases
+    /// run or not.
     pub fn retained_slots(&self) -> u16 {
         self.slots.values().filter(|own| !own.stopping).count() as u16
     }
@@ -158,8 +159,8 @@
         self.handle_deadline(now, effects);
     }
 
-    /// Sets which members are alive, and with which instance: slots of all others may be taken over once their
-    /// leases have expired.
+    /// Sets which members are alive, and with which instance: slots of all others may be taken over once
+    /// their leases have expired.
     pub fn set_alive(&mut self, alive: BTreeMap<MemberId, InstanceId>) {
         self.alive = alive;
     }
--- a/leases/src/holder/change.rs
+++ b/leases/src/holder/change.rs
@@ -14,8 +14,8 @@
         self.config.lease() * 0.5
     }
 
-    /// Gives up waiting for an answer. The change may have been made or not, so the register is read before the
-    /// next attempt.
+    /// Gives up waiting for an answer. The change may have been made or not, so the register is read before
+    /// the next attempt.
     pub(super) fn abandon_pending(&mut self, now: Ms) {
         if let Some((id, _)) = self.pending.take() {
             self.known.remove(&id);
@@ -59,12 +59,13 @@
             }
             Answer::Conflict { revision, body } => {
                 effects.note(LeaseEvent::Conflict);
-                // The known value may come from a store that has been lost since; the answer has the current one.
+                // The known value may come from a store that has been lost since; the answer has the current
+                // one.
                 self.known.remove(&id);
                 let result = self.register_changed(id, revision, &body, effects);
                 self.back_off(now);
-                // Without this immediate retry, of several members told to shut down at the same time one gave
-                // its slots back, and the others were gone before their next attempt.
+                // Without this immediate retry, of several members told to shut down at the same time one
+                // gave its slots back, and the others were gone before their next attempt.
                 if self.leaving && self.released.keys().any(|slot| slot.bucket() == id) {
                     self.propose_release(now, id, effects);
                 }
@@ -86,8 +87,8 @@
     }
 
     /// Releases what was given up, else stops using slots above the target, else asks for missing slots.
-    /// Without a lease in force the council can't be reached: nothing is given up then, so that all slots come
-    /// back as they were.
+    /// Without a lease in force the council can't be reached: nothing is given up then, so that all slots
+    /// come back as they were.
     pub(super) fn act(&mut self, now: Ms, effects: &mut dyn Effects) {
         let retained = self.retained_slots();
         if let Some(id) = self.released.keys().next().map(|slot| slot.bucket()) {
@@ -116,8 +117,8 @@
     }
 
     /// Proposes the release in all registers at once, since a member that shuts down has no time to do so one
-    /// after the other. The councillors carry out what is not answered in time; slots whose release is lost go
-    /// to others at the end of the lease.
+    /// after the other. The councillors carry out what is not answered in time; slots whose release is lost
+    /// go to others at the end of the lease.
     pub(super) fn propose_all_releases(&mut self, now: Ms, effects: &mut dyn Effects) {
         let all: BTreeSet<BucketId> = self.released.keys().map(|slot| slot.bucket()).collect();
         all.into_iter().for_each(|id| self.propose_release(now, id, effects));
@@ -145,8 +146,8 @@
         effects.shrink(self.current_share(now));
     }
 
-    /// Asks for slots in the bucket that has most to give; else reads a bucket that is not known; else reads any
-    /// bucket again, at random.
+    /// Asks for slots in the bucket that has most to give; else reads a bucket that is not known; else reads
+    /// any bucket again, at random.
     fn request_slots(&mut self, now: Ms, count: usize, effects: &mut dyn Effects) {
         let alive = self.alive.clone();
         // Right after the start the list of members may be incomplete.
--- a/leases/src/holder/register.rs
+++ b/leases/src/holder/register.rs
@@ -4,8 +4,8 @@
 use crate::error::LeaseError;
 
 impl Holder {
-    /// A register's value, learned by following the council or from an answer. It must have been chosen by the
-    /// council: a councillor also grants epochs that it has not accepted itself yet.
+    /// A register's value, learned by following the council or from an answer. It must have been chosen by
+    /// the council: a councillor also grants epochs that it has not accepted itself yet.
     ///
     /// # Errors
     /// [`LeaseError::Body`]; nothing is changed then.
--- a/leases/src/ids.rs
+++ b/leases/src/ids.rs
@@ -16,7 +16,8 @@
 numbers!(
     /// One of the equal shares of the capacity, numbered through all buckets.
     Slot(u16),
-    /// Raised by one at each change of a slot's holder, so that renewals of an earlier holder can be recognized.
+    /// Raised by one at each change of a slot's holder, so that renewals of an earlier holder can be
+    /// recognized.
     Epoch(u32),
     /// One register of the council, with 24 slots.
     BucketId(u8),
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -1,7 +1,7 @@
 //! Leases that decide which share of the cluster's capacity a member may act on. The capacity is divided into
-//! slots. A slot has one holder at a time, by a lease (Gray, Cheriton 1989: "Leases: an efficient fault-tolerant
-//! mechanism for distributed file cache consistency") that a majority of councillors renews. See docs/parts.md for
-//! the guarantees.
+//! slots. A slot has one holder at a time, by a lease (Gray, Cheriton 1989: "Leases: an efficient
+//! fault-tolerant mechanism for distributed file cache consistency") that a majority of councillors renews.
+//! See docs/parts.md for the guarantees.
 //!
 //! The crate does no I/O: time is an argument, each input is a method, and outputs go through [`Effects`].
 
--- a/leases/src/messages.rs
+++ b/leases/src/messages.rs
@@ -1,4 +1,5 @@
-//! Messages between holders and councillors, and the payload that each member sends to all. Each fits 900 bytes.
+//! Messages between holders and councillors, and the payload that each member sends to all. Each fits 900
+//! bytes.
 
 use crate::error::LeaseError;
 use crate::ids::{Epoch, InstanceId, Slot};
@@ -7,7 +8,8 @@
 /// Slots in one message: 8 bytes each at most, 784 with the other fields.
 pub const SLOTS_PER_PAGE: usize = 96;
 
-/// A holder's request to renew the leases of these slots. All councillors get the same page with the same number.
+/// A holder's request to renew the leases of these slots. All councillors get the same page with the same
+/// number.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Renew {
     pub instance: InstanceId,
--- a/leases/src/tests/council.rs
+++ b/leases/src/tests/council.rs
@@ -1,5 +1,5 @@
-//! A simple model of the council: one CASPaxos register per bucket (Rystsov 2018). Promises survive restarts; each
-//! proposer runs one round per bucket at a time.
+//! A simple model of the council: one CASPaxos register per bucket (Rystsov 2018). Promises survive restarts;
+//! each proposer runs one round per bucket at a time.
 
 use super::world::{Body, Rng};
 use crate::*;
--- a/leases/src/tests/fleets.rs
+++ b/leases/src/tests/fleets.rs
@@ -1,5 +1,5 @@
-//! Whole fleets with slot balancers: how soon all members hold slots, how shares follow the demand, and how leases
-//! expire and come back.
+//! Whole fleets with slot balancers: how soon all members hold slots, how shares follow the demand, and how
+//! leases expire and come back.
 
 use super::config;
 use super::world::{id, World};
@@ -28,7 +28,8 @@
         self.world.nodes[node].up
     }
 
-    /// Runs one interval after another. Returns the end of the interval from which on all running members held slots.
+    /// Runs one interval after another. Returns the end of the interval from which on all running members
+    /// held slots.
     fn run(&mut self, until: Ms) -> Option<Ms> {
         let mut all_held = None;
         while self.world.now < until {
--- a/leases/src/tests/histories.rs
+++ b/leases/src/tests/histories.rs
@@ -47,8 +47,8 @@
     }
 }
 
-/// Runs two minutes of faults. Returns the first moment at which a slot had two holders, or the members held more slots
-/// than there are.
+/// Runs two minutes of faults. Returns the first moment at which a slot had two holders, or the members held
+/// more slots than there are.
 fn history(seed: u64, members: usize, councillors: u64, guards: Guards) -> Option<Ms> {
     let slots = [4, 24, 50][seed as usize % 3];
     // Clocks drift by 1 % or by 10 % at most: margins of 200 ms and of 2 s.
--- a/leases/src/tests/holding.rs
+++ b/leases/src/tests/holding.rs
@@ -135,7 +135,8 @@
     assert!(holder.has_released_all() && effects.proposals.is_empty());
 }
 
-/// Guards against slots that were requested before the holder began to leave: taken up, they would be idle for a lease.
+/// Guards against slots that were requested before the holder began to leave: taken up, they would be idle
+/// for a lease.
 #[test]
 fn a_leaving_holder_takes_no_slots_and_retries_its_release_at_once() {
     let mut effects = RecordedEffects::default();
@@ -145,7 +146,8 @@
     effects.proposals.clear();
     let renewals = effects.renewals.len();
     holder.set_target(Ms(3.0), 4, &mut effects);
-    // Another member's change came first, and so did an earlier one of this member: it is assigned five slots now.
+    // Another member's change came first, and so did an earlier one of this member: it is assigned five slots
+    // now.
     let body = Bucket::empty(24).acquire(5, A).encode().unwrap();
     holder
         .council_answered(Ms(4.0), BucketId(0), Answer::Conflict { revision: 9, body }, &mut effects)
--- a/leases/src/tests/tables.rs
+++ b/leases/src/tests/tables.rs
@@ -83,8 +83,8 @@
     assert_eq!(Demand::decode(&[200]), Err(LeaseError::Demand { bytes: 1 }));
 }
 
-/// A councillor that has accepted this entry of slot 0, and was asked to renew the slot for A under this epoch at 20 s,
-/// long after its start at 0; and whether it granted the renewal.
+/// A councillor that has accepted this entry of slot 0, and was asked to renew the slot for A under this
+/// epoch at 20 s, long after its start at 0; and whether it granted the renewal.
 fn councillor_that_renewed(epoch: u32, accepted: SlotEntry) -> (LeaseGrants, bool) {
     let mut councillor = LeaseGrants::new(Ms(0.0), config(24, 3));
     let request = Renew { instance: A.1, number: 1, slots: vec![(Slot(0), Epoch(epoch))] };
--- a/leases/src/tests/world.rs
+++ b/leases/src/tests/world.rs
@@ -1,5 +1,5 @@
-//! A simulation of members and councillors: clocks drift, messages are lost, late or cut in one direction, processes
-//! are paused or restarted. It reports when two members consider themselves holders of one slot.
+//! A simulation of members and councillors: clocks drift, messages are lost, late or cut in one direction,
+//! processes are paused or restarted. It reports when two members consider themselves holders of one slot.
 
 use super::council::{Change, Clock, Councillor, Round};
 use crate::*;
--- a/membership/examples/forged.rs
+++ b/membership/examples/forged.rs
@@ -1,4 +1,5 @@
-//! The cost of `DatagramAuth`: datagrams opened, and forged ones dropped, relative to sealing in the same run.
+//! The cost of `DatagramAuth`: datagrams opened, and forged ones dropped, relative to sealing in the same
+//! run.
 //! `cargo run --release -p ottersail-membership --example forged`
 
 use ottersail::time::Ms;
--- a/membership/examples/hard.rs
+++ b/membership/examples/hard.rs
@@ -1,5 +1,6 @@
-//! Fault scenarios in simulated time: seven in ten members killed at once, packet loss, a member short of CPU, pauses,
-//! and a paused member that nobody hears. `cargo run --release -p ottersail-membership --example hard`
+//! Fault scenarios in simulated time: seven in ten members killed at once, packet loss, a member short of
+//! CPU, pauses, and a paused member that nobody hears. `cargo run --release -p ottersail-membership --example
+//! hard`
 
 #[path = "../tests/sim/mod.rs"]
 mod sim;
@@ -25,8 +26,8 @@
     format!("{:.1} {:.1} {:.1}", quantile(0), quantile(1), quantile(2))
 }
 
-/// Kills seven in ten members at once and measures the seconds until all that are left consider all of them dead and
-/// each other alive.
+/// Kills seven in ten members at once and measures the seconds until all that are left consider all of them
+/// dead and each other alive.
 fn mass_failure(count: usize, seeds: u64) {
     let (mut took, mut wrongly, mut health, mut bytes) = (Vec::new(), 0, 0, 0.0f64);
     for seed in 100..100 + seeds {
@@ -119,8 +120,8 @@
     );
 }
 
-/// Three members are not heard (or hear nobody) for 5 s, while a fifth of all datagrams is lost for the first 3 s; one of
-/// them may also be paused for 2 s from the first second on. Connections pass.
+/// Three members are not heard (or hear nobody) for 5 s, while a fifth of all datagrams is lost for the first
+/// 3 s; one of them may also be paused for 2 s from the first second on. Connections pass.
 fn cut(unheard: bool, paused: bool) {
     const COUNT: usize = 30;
     let (mut runs, mut observers, mut suspected) = (0, 0, 0);
--- a/membership/src/auth/cookie.rs
+++ b/membership/src/auth/cookie.rs
@@ -27,7 +27,8 @@
 
     pub fn is_valid(&self, now: Ms, instance: (MemberId, InstanceId), cookie: &[u8]) -> bool {
         let current = interval(now);
-        // The comparison need not take constant time: a guess has to carry a MAC made with the cluster's keys.
+        // The comparison need not take constant time: a guess has to carry a MAC made with the cluster's
+        // keys.
         [current, current.wrapping_sub(1)].iter().any(|number| self.cookie_in(*number, instance) == cookie)
     }
 
--- a/membership/src/auth/frame.rs
+++ b/membership/src/auth/frame.rs
@@ -1,5 +1,5 @@
-//! The layout of a datagram, in bytes: version 1, kind 1, cluster 4, sender 8, instance 8, receiver 8, counter
-//! 8, the body, MAC 16. All numbers are big-endian; the MAC covers everything before it.
+//! The layout of a datagram, in bytes: version 1, kind 1, cluster 4, sender 8, instance 8, receiver 8,
+//! counter 8, the body, MAC 16. All numbers are big-endian; the MAC covers everything before it.
 
 use super::error::DropReason;
 use crate::{InstanceId, MemberId};
--- a/membership/src/auth/instances.rs
+++ b/membership/src/auth/instances.rs
@@ -1,5 +1,5 @@
-//! The verified instances, each with its replay window. The table is bounded, and no instance enters it before
-//! it has proved that it is running.
+//! The verified instances, each with its replay window. The table is bounded, and no instance enters it
+//! before it has proved that it is running.
 
 use super::error::DropReason;
 use super::window::Window;
--- a/membership/src/auth/mod.rs
+++ b/membership/src/auth/mod.rs
@@ -1,6 +1,6 @@
 //! Authentication of datagrams: seals messages and opens received datagrams. Datagrams that are forged,
-//! replayed, cut, too long or of another cluster are counted and dropped, cheap checks first. Nothing is stored
-//! before the MAC is verified, and no instance is accepted before it has echoed a cookie.
+//! replayed, cut, too long or of another cluster are counted and dropped, cheap checks first. Nothing is
+//! stored before the MAC is verified, and no instance is accepted before it has echoed a cookie.
 
 mod cookie;
 mod error;
@@ -147,8 +147,8 @@
 
     fn try_open<T: DeserializeOwned>(&mut self, now: Ms, bytes: &[u8]) -> Result<Opened<T>, DropReason> {
         let header = frame::read_header(bytes, self.version, self.cluster_tag)?;
-        // Another instance under this member's own id is let through, so that a name given to two processes is
-        // noticed.
+        // Another instance under this member's own id is let through, so that a name given to two processes
+        // is noticed.
         if header.to.is_some_and(|to| to != self.own_id)
             || (header.from, header.instance) == (self.own_id, self.instance)
         {
--- a/membership/src/auth/window.rs
+++ b/membership/src/auth/window.rs
@@ -16,8 +16,9 @@
 }
 
 impl Window {
-    /// A window in which all counters up to `counter` count as seen. What an instance sent before it was verified
-    /// is never accepted later; otherwise recorded datagrams could be replayed after its verification.
+    /// A window in which all counters up to `counter` count as seen. What an instance sent before it was
+    /// verified is never accepted later; otherwise recorded datagrams could be replayed after its
+    /// verification.
     pub fn closed_at(counter: u64) -> Window {
         Window { highest: counter, seen: [u64::MAX; WORDS] }
     }
--- a/membership/src/config.rs
+++ b/membership/src/config.rs
@@ -28,7 +28,8 @@
     pub probe_period: Ms,
     /// Members that are asked to probe a target that does not answer.
     pub helpers: usize,
-    /// A suspicion confirmed by `confirmations` others runs for this many periods times log10 of the cluster size.
+    /// A suspicion confirmed by `confirmations` others runs for this many periods times log10 of the cluster
+    /// size.
     pub suspicion_factor: f64,
     /// A suspicion that nobody confirms runs this many times longer.
     pub unconfirmed_factor: f64,
--- a/membership/src/health.rs
+++ b/membership/src/health.rs
@@ -36,7 +36,8 @@
             return;
         }
         for probe in self.probes.values_mut() {
-            // A quarter of a period more: the answer may be in the receive queue and be read after this timer.
+            // A quarter of a period more: the answer may be in the receive queue and be read after this
+            // timer.
             probe.due = probe.due + late + self.config.probe_period * 0.25;
             probe.sent = probe.sent + late;
         }
--- a/membership/src/ids.rs
+++ b/membership/src/ids.rs
@@ -7,7 +7,8 @@
 /// Where a member receives datagrams and connections.
 pub type Address = std::net::SocketAddrV4;
 
-/// Identifies a member: the first 8 bytes of SHA-256 over the cluster's name, a zero byte and the member's name.
+/// Identifies a member: the first 8 bytes of SHA-256 over the cluster's name, a zero byte and the member's
+/// name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "[u8; 8]", into = "[u8; 8]")]
 pub struct MemberId(pub u64);
--- a/membership/src/indirect_probe.rs
+++ b/membership/src/indirect_probe.rs
@@ -109,7 +109,8 @@
                 self.indirect_probes.remove(&number);
                 continue;
             }
-            // The answer may still come after the nack: it is forwarded for as long as a slow requester waits.
+            // The answer may still come after the nack: it is forwarded for as long as a slow requester
+            // waits.
             pending.nacked = true;
             pending.due = now + self.config.probe_period * 2.0;
             let (requester, number) = (pending.requester, pending.requester_number);
--- a/membership/src/lib.rs
+++ b/membership/src/lib.rs
@@ -2,8 +2,8 @@
 //! reach each other.
 //!
 //! The crate does no I/O and starts no threads: the caller passes in the time and the received messages, and
-//! carries out what the state machine requests through [`Effects`]. The protocol is SWIM (Das, Gupta, Motivala
-//! 2002) with Lifeguard (Dadgar, Phillips, Currey 2017); see docs/membership.md.
+//! carries out what the state machine requests through [`Effects`]. The protocol is SWIM (Das, Gupta,
+//! Motivala 2002) with Lifeguard (Dadgar, Phillips, Currey 2017); see docs/membership.md.
 
 mod application;
 mod apply;
--- a/membership/src/message.rs
+++ b/membership/src/message.rs
@@ -83,9 +83,9 @@
     Digest {
         sums: Vec<u8>,
     },
-    /// What the sender knows of the members in the buckets of `mask`, in the message's updates, ordered by id.
-    /// `more`: further pages follow on [`Body::NextPage`]. `back`: the receiver is asked for its own page. An
-    /// empty mask says that all checksums agreed.
+    /// What the sender knows of the members in the buckets of `mask`, in the message's updates, ordered by
+    /// id. `more`: further pages follow on [`Body::NextPage`]. `back`: the receiver is asked for its own
+    /// page. An empty mask says that all checksums agreed.
     Page {
         mask: u64,
         more: bool,
--- a/membership/src/reachability.rs
+++ b/membership/src/reachability.rs
@@ -40,9 +40,9 @@
                 stored.insert(piggyback.topic, piggyback.bytes.clone());
             }
         }
-        // A refutation may cease to be gossiped before it reaches this member. The incarnation in each message
-        // makes up for that: without it, a member that answers every probe was declared dead by the one member
-        // that its refutation had not reached.
+        // A refutation may cease to be gossiped before it reaches this member. The incarnation in each
+        // message makes up for that: without it, a member that answers every probe was declared dead by the
+        // one member that its refutation had not reached.
         let not_alive = matches!(peer.view.state, State::Suspect | State::Dead);
         if not_alive && message.incarnation > peer.view.incarnation {
             peer.view.incarnation = message.incarnation;
--- a/membership/src/suspicion.rs
+++ b/membership/src/suspicion.rs
@@ -8,8 +8,8 @@
 use ottersail::time::Ms;
 use std::collections::BTreeSet;
 
-/// No suspicion is shorter than this many periods, so that a member that gets no CPU for one of them still has
-/// time to answer.
+/// No suspicion is shorter than this many periods, so that a member that gets no CPU for one of them still
+/// has time to answer.
 const MIN_SUSPICION_PERIODS: f64 = 2.0;
 /// Ids kept of the members that suspect one member.
 const MAX_CONFIRMERS: usize = 16;
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Shortens the timeout of a running suspicion if the update comes from a member that had not reported it.
+    /// Shortens the timeout of a running suspicion if the update comes from a member that had not reported
+    /// it.
     pub(crate) fn confirm(&mut self, now: Ms, update: &Update) {
         let Some(by) = update.reported_by else { return };
         let wanted = self.config.confirmations;
--- a/membership/tests/cuts.rs
+++ b/membership/tests/cuts.rs
@@ -1,5 +1,5 @@
-//! Cuts in one or both directions: which states result, that no member changes its view repeatedly, and that all
-//! members agree again once the cut ends.
+//! Cuts in one or both directions: which states result, that no member changes its view repeatedly, and that
+//! all members agree again once the cut ends.
 
 mod sim;
 
@@ -75,7 +75,8 @@
     others.find(|(id, _)| **id == network.id(member)).map(|(_, view)| view.reachability)
 }
 
-// Each states_during_and_after_a_cut: what those on the one side hold of the other side after 120 s (400 s for one from all), and the other way round.
+// Each states_during_and_after_a_cut: what those on the one side hold of the other side after 120 s (400 s
+// for one from all), and the other way round.
 #[test_case(Direction::Deaf, CutPairs::Pair, false, State::Alive, State::Alive; "pair, deaf")]
 #[test_case(Direction::Mute, CutPairs::Pair, false, State::Alive, State::Alive; "pair, mute")]
 #[test_case(Direction::Both, CutPairs::Pair, false, State::Alive, State::Alive; "pair, both")]
@@ -134,7 +135,8 @@
     // Members on the same side consider each other alive throughout.
     assert!(states(&network, lower.clone(), lower).iter().all(|state| *state == State::Alive));
     assert!(states(&network, upper.clone(), upper).iter().all(|state| *state == State::Alive));
-    // Suspected and declared dead once, refuted at most once in between: no member changes its state repeatedly.
+    // Suspected and declared dead once, refuted at most once in between: no member changes its state
+    // repeatedly.
     let allowed = if lower_of_upper == State::Alive { 0 } else { 4 };
     assert!(
         most_state_changes(&network, from) <= allowed,
--- a/membership/tests/faults.rs
+++ b/membership/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Packet loss, paused members and members short of CPU: few members are falsely declared dead, and none for longer
-//! than the fault lasts.
+//! Packet loss, paused members and members short of CPU: few members are falsely declared dead, and none for
+//! longer than the fault lasts.
 
 mod sim;
 
@@ -90,7 +90,8 @@
     assert_eq!(dead, 0);
 }
 
-/// Such a member can't refute a suspicion. Others do so over connections; only in a few runs they have no time to.
+/// Such a member can't refute a suspicion. Others do so over connections; only in a few runs they have no
+/// time to.
 #[test]
 fn a_paused_member_that_nobody_hears_is_rarely_declared_dead() {
     let mut runs_with_death = 0;
--- a/membership/tests/network.rs
+++ b/membership/tests/network.rs
@@ -62,8 +62,8 @@
     }
 }
 
-/// It took 47 s at the median when a member degraded its own health for silent helpers that had died along with the
-/// target.
+/// It took 47 s at the median when a member degraded its own health for silent helpers that had died along
+/// with the target.
 #[test]
 fn the_death_of_42_of_60_members_is_detected_by_all_within_10_seconds() {
     let mut network = settled(60, 100);
--- a/net/src/client/tests.rs
+++ b/net/src/client/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the HTTP client.
+
 use super::Client;
 use crate::{block_on, executor, Stream, Timer};
 use futures_lite::AsyncReadExt;
@@ -8,7 +10,7 @@
 
 #[test_case(true => Some(ErrorKind::ConnectionReset); "reset, where that is asked for")]
 #[test_case(false => None; "closed otherwise")]
-fn an_exchange_that_is_dropped(resets: bool) -> Option<ErrorKind> {
+fn a_dropped_exchange_resets_or_closes_its_connection(resets: bool) -> Option<ErrorKind> {
     let exec = executor();
     block_on(exec.run(async {
         let listener = crate::Listener::bind(([127, 0, 0, 1], 0).into()).unwrap();
@@ -16,22 +18,22 @@
         let client = Client::new(exec, Duration::from_secs(1), 4, Duration::from_secs(1));
         let client = if resets { client.resetting() } else { client };
         let request = Client::request(Method::PUT, &address, "/x");
-        let asks = async {
-            let late = Timer::after(Duration::from_millis(50));
+        let request_and_drop = async {
+            let timeout = Timer::after(Duration::from_millis(50));
             _ = futures_lite::future::or(
                 async { _ = client.exchange(&address, request, 100, || true).await },
-                late,
+                timeout,
             )
             .await;
         };
-        let accepts = async { Stream::new(listener.accept().await.unwrap().0).unwrap() };
-        let (_, mut stream) = futures_lite::future::zip(asks, accepts).await;
+        let accept = async { Stream::new(listener.accept().await.unwrap().0).unwrap() };
+        let (_, mut stream) = futures_lite::future::zip(request_and_drop, accept).await;
         let mut bytes = [0; 512];
         loop {
             match stream.read(&mut bytes).await {
                 Ok(0) => return None,
                 Ok(_) => {}
-                Err(trouble) => return Some(trouble.kind()),
+                Err(error) => return Some(error.kind()),
             }
         }
     }))
--- a/net/src/reactor.rs
+++ b/net/src/reactor.rs
@@ -1,11 +1,12 @@
-//! Each thread waits for its own sockets and timers, and shares neither with another: what one core does
-//! costs the others nothing (docs/several-cores.md has the figures beside one reactor for all threads).
+//! The event loop of a thread. Each thread waits for its own sockets and timers and shares neither with
+//! another, so that the work of one core costs the others nothing (docs/several-cores.md compares it with one
+//! reactor for all threads).
 
 mod sources;
 
 pub(crate) use sources::{Side, Source};
 
-use crate::trouble::NoReactor;
+use crate::error::NoReactor;
 use ottersail_cores::WakeFlag;
 use rustix::event::{epoll, eventfd, EventfdFlags, Timespec};
 use rustix::fd::{AsFd, OwnedFd};
@@ -22,60 +23,64 @@
 use std::time::{Duration, Instant};
 
 /// Events taken from the system at once.
-const MOST_EVENTS: usize = 256;
-const BELL: u64 = u64::MAX;
+const MAX_EVENTS: usize = 256;
+/// The epoll data of the eventfd that wakes the thread.
+const WAKE_EVENT: u64 = u64::MAX;
 
 thread_local! {
     static REACTOR: Rc<Reactor> = Rc::new(
-        Reactor::new().unwrap_or_else(|it| panic!("{}", NoReactor::here(it)))
+        Reactor::new().unwrap_or_else(|error| panic!("{}", NoReactor::current(error)))
     );
 }
 
+/// Sockets and timers of one thread.
 pub(crate) struct Reactor {
-    wakes: Arc<Wakes>,
+    waker: Arc<ThreadWaker>,
     sources: Rc<Sources>,
     timers: RefCell<BTreeMap<(Instant, u64), Waker>>,
     next_timer: Cell<u64>,
     events: RefCell<Vec<epoll::Event>>,
-    slept: Cell<Duration>,
+    idle: Cell<Duration>,
 }
 
-struct Wakes {
-    bell: WakeFlag,
-    wire: OwnedFd,
+/// Wakes the thread; can be used on any thread.
+struct ThreadWaker {
+    flag: WakeFlag,
+    eventfd: OwnedFd,
 }
 
-impl Wake for Wakes {
+impl Wake for ThreadWaker {
     fn wake(self: Arc<Self>) {
         self.wake_by_ref();
     }
 
     fn wake_by_ref(self: &Arc<Self>) {
-        if self.bell.notify() {
-            // It fails only if the count is full, and then the thread is woken anyway.
-            _ = rustix::io::write(&self.wire, &1u64.to_ne_bytes());
+        if self.flag.notify() {
+            // The write fails only if the eventfd's counter is full, and then the thread is woken anyway.
+            _ = rustix::io::write(&self.eventfd, &1u64.to_ne_bytes());
         }
     }
 }
 
-/// The reactor of the calling thread; `None` while the thread ends.
+/// The reactor of the calling thread; `None` while the thread shuts down.
 pub(crate) fn reactor() -> Option<Rc<Reactor>> {
     REACTOR.try_with(Rc::clone).ok()
 }
 
 impl Reactor {
     fn new() -> io::Result<Reactor> {
-        // Timers of different threads are never taken for one another, should one be dropped away from home.
+        // Timer ids differ between threads, so that a timer that is dropped on another thread removes no
+        // timer there.
         static THREADS: AtomicU64 = AtomicU64::new(0);
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
-        let wire = eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?;
+        let wake_fd = eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?;
         epoll::add(
             &epoll,
-            &wire,
-            epoll::EventData::new_u64(BELL),
+            &wake_fd,
+            epoll::EventData::new_u64(WAKE_EVENT),
             epoll::EventFlags::IN | epoll::EventFlags::ET,
         )?;
-        // Linux before 5.11 can't wait for parts of a millisecond: better said now than at each wait.
+        // Linux before 5.11 has no timeouts below a millisecond: fails here rather than at each wait.
         let none = Timespec { tv_sec: 0, tv_nsec: 0 };
         epoll::wait(
             &epoll,
@@ -83,12 +88,12 @@
             Some(&none),
         )?;
         Ok(Reactor {
-            wakes: Arc::new(Wakes { bell: WakeFlag::new(), wire }),
+            waker: Arc::new(ThreadWaker { flag: WakeFlag::new(), eventfd: wake_fd }),
             sources: Rc::new(Sources::new(epoll)),
             timers: RefCell::default(),
             next_timer: Cell::new(THREADS.fetch_add(1, Ordering::Relaxed) << 40),
-            events: RefCell::new(Vec::with_capacity(MOST_EVENTS)),
-            slept: Cell::default(),
+            events: RefCell::new(Vec::with_capacity(MAX_EVENTS)),
+            idle: Cell::default(),
         })
     }
 
@@ -97,15 +102,15 @@
         self.sources.watch(socket)
     }
 
-    pub(crate) fn set_timer(&self, at: Instant, waker: Waker) -> u64 {
+    pub(crate) fn add_timer(&self, at: Instant, waker: Waker) -> u64 {
         let id = self.next_timer.get();
         self.next_timer.set(id + 1);
         self.timers.borrow_mut().insert((at, id), waker);
         id
     }
 
-    /// The timer's waker is another from now on; false if it has rung or is not of this thread.
-    pub(crate) fn renew_timer(&self, at: Instant, id: u64, waker: &Waker) -> bool {
+    /// Replaces the timer's waker; false if the timer has fired or is not of this thread.
+    pub(crate) fn update_timer(&self, at: Instant, id: u64, waker: &Waker) -> bool {
         match self.timers.borrow_mut().get_mut(&(at, id)) {
             Some(old) => {
                 old.clone_from(waker);
@@ -115,17 +120,17 @@
         }
     }
 
-    pub(crate) fn drop_timer(&self, at: Instant, id: u64) {
+    pub(crate) fn remove_timer(&self, at: Instant, id: u64) {
         self.timers.borrow_mut().remove(&(at, id));
     }
 
     #[cfg(test)]
-    pub(crate) fn timers(&self) -> usize {
+    pub(crate) fn timer_count(&self) -> usize {
         self.timers.borrow().len()
     }
 
-    /// Wakes whoever's time has come; how long until the next.
-    fn ring_timers(&self) -> Option<Duration> {
+    /// Wakes the tasks whose timers are due; returns the time until the next timer.
+    fn fire_timers(&self) -> Option<Duration> {
         let mut timers = self.timers.borrow_mut();
         let mut now = None;
         while let Some(entry) = timers.first_entry() {
@@ -134,59 +139,59 @@
             if at > now {
                 return Some(at - now);
             }
-            // It only puts a task in its executor's queue.
+            // Waking only puts a task into its executor's queue.
             entry.remove().wake();
         }
         None
     }
 
-    /// Waits for sockets, at most so long, and wakes who waits for them.
-    fn wait(&self, most: Option<Duration>) {
-        let most = most.map(|it| Timespec {
-            tv_sec: it.as_secs().min(1 << 30) as i64,
-            tv_nsec: it.subsec_nanos().into(),
+    /// Waits for socket events up to the timeout, and wakes the tasks that wait for them.
+    fn wait(&self, timeout: Option<Duration>) {
+        let timeout = timeout.map(|span| Timespec {
+            tv_sec: span.as_secs().min(1 << 30) as i64,
+            tv_nsec: span.subsec_nanos().into(),
         });
         let mut events = self.events.borrow_mut();
         events.clear();
-        // Interrupted: as if nothing had come.
-        _ = epoll::wait(self.sources.epoll(), rustix::buffer::spare_capacity(&mut events), most.as_ref());
-        // Before anyone is woken, so that this thread's own wakes cost no call.
-        self.wakes.bell.end_sleep();
+        // An interrupted wait counts as one without events.
+        _ = epoll::wait(self.sources.epoll(), rustix::buffer::spare_capacity(&mut events), timeout.as_ref());
+        // Before any task is woken, so that wakes by this thread itself cost no system call.
+        self.waker.flag.end_sleep();
         self.sources.wake(&events);
     }
 }
 
-/// How long this thread has waited in all with nothing to do.
+/// The total time that this thread has waited with nothing to do.
 pub fn idle_time() -> Duration {
-    reactor().map_or(Duration::ZERO, |it| it.slept.get())
+    reactor().map_or(Duration::ZERO, |reactor| reactor.idle.get())
 }
 
-/// Runs a future on this thread, with its sockets and timers, until it is done.
+/// Runs a future on this thread, together with the thread's sockets and timers, until it completes.
 pub fn block_on<T>(future: impl Future<Output = T>) -> T {
     let reactor = REACTOR.with(Rc::clone);
-    let wakes = reactor.wakes.clone();
-    let waker = Waker::from(wakes.clone());
+    let thread_waker = reactor.waker.clone();
+    let waker = Waker::from(thread_waker.clone());
     let mut cx = Context::from_waker(&waker);
     let mut future = pin!(future);
     loop {
         if let Poll::Ready(done) = future.as_mut().poll(&mut cx) {
             return done;
         }
-        let next = reactor.ring_timers();
-        // There is more to do: sockets are looked at in passing.
-        if wakes.bell.take_notification() {
+        let next = reactor.fire_timers();
+        // There is more to run: only polls the sockets.
+        if thread_waker.flag.take_notification() {
             reactor.wait(Some(Duration::ZERO));
             continue;
         }
-        let sleeps = wakes.bell.begin_sleep();
-        if sleeps {
+        let may_sleep = thread_waker.flag.begin_sleep();
+        if may_sleep {
             let began = Instant::now();
             reactor.wait(next);
-            reactor.slept.set(reactor.slept.get() + began.elapsed());
+            reactor.idle.set(reactor.idle.get() + began.elapsed());
         } else {
             reactor.wait(Some(Duration::ZERO));
         }
-        reactor.ring_timers();
-        wakes.bell.take_notification();
+        reactor.fire_timers();
+        thread_waker.flag.take_notification();
     }
 }
--- a/net/src/reactor/sources.rs
+++ b/net/src/reactor/sources.rs
@@ -1,4 +1,4 @@
-//! Sockets that are watched, and who waits for them.
+//! Sockets registered with epoll, and the tasks that wait for them.
 
 use rustix::event::epoll;
 use rustix::fd::{AsFd, OwnedFd};
@@ -7,9 +7,9 @@
 use std::rc::Rc;
 use std::task::{Context, Waker};
 
-/// Who waits for a socket.
+/// The tasks that wait for a socket.
 #[derive(Default)]
-struct Waits {
+struct Waiters {
     read: Option<Waker>,
     write: Option<Waker>,
 }
@@ -20,91 +20,92 @@
     Write,
 }
 
-/// All sockets that one thread watches; the number of each goes with its events.
+/// All sockets that one thread watches. The index of a socket is in its epoll events.
 pub(super) struct Sources {
     epoll: OwnedFd,
-    waits: RefCell<Vec<Option<Waits>>>,
+    waiters: RefCell<Vec<Option<Waiters>>>,
     free: RefCell<Vec<usize>>,
 }
 
 impl Sources {
     pub(super) fn new(epoll: OwnedFd) -> Sources {
-        Sources { epoll, waits: RefCell::default(), free: RefCell::default() }
+        Sources { epoll, waiters: RefCell::default(), free: RefCell::default() }
     }
 
     pub(super) fn epoll(&self) -> &OwnedFd {
         &self.epoll
     }
 
-    /// Watches a socket for both sides from now on; an event comes with each change, so that no call is
-    /// needed to wait again.
+    /// Watches a socket for reading and writing. Events are edge-triggered, so that no system call is needed
+    /// to wait again.
     pub(super) fn watch(self: &Rc<Sources>, socket: impl AsFd) -> io::Result<Source> {
         let index = self.free.borrow_mut().pop();
         let index = index.unwrap_or_else(|| {
-            self.waits.borrow_mut().push(None);
-            self.waits.borrow().len() - 1
+            self.waiters.borrow_mut().push(None);
+            self.waiters.borrow().len() - 1
         });
         let flags =
             epoll::EventFlags::IN | epoll::EventFlags::OUT | epoll::EventFlags::RDHUP | epoll::EventFlags::ET;
-        if let Err(trouble) = epoll::add(&self.epoll, socket, epoll::EventData::new_u64(index as u64), flags)
-        {
+        if let Err(error) = epoll::add(&self.epoll, socket, epoll::EventData::new_u64(index as u64), flags) {
             self.free.borrow_mut().push(index);
-            return Err(trouble.into());
+            return Err(error.into());
         }
-        self.waits.borrow_mut()[index] = Some(Waits::default());
-        Ok(Source { of: self.clone(), index })
+        self.waiters.borrow_mut()[index] = Some(Waiters::default());
+        Ok(Source { sources: self.clone(), index })
     }
 
-    /// Wakes who waits for what has come.
+    /// Wakes the tasks that wait for these events.
     pub(super) fn wake(&self, events: &[epoll::Event]) {
-        let mut sources = self.waits.borrow_mut();
+        let mut sources = self.waiters.borrow_mut();
         let (reads, writes) = (epoll::EventFlags::IN | epoll::EventFlags::RDHUP, epoll::EventFlags::OUT);
         let both = epoll::EventFlags::HUP | epoll::EventFlags::ERR;
         for event in events {
             let (data, flags) = (event.data, event.flags);
-            // One that was dropped since has no entry, or another's, which then looks once in vain.
-            let Some(Some(waits)) = usize::try_from(data.u64()).ok().and_then(|it| sources.get_mut(it))
+            // A source that was dropped since has no entry, or that of another one, which is then woken once
+            // in vain.
+            let Some(Some(waiters)) =
+                usize::try_from(data.u64()).ok().and_then(|index| sources.get_mut(index))
             else {
                 continue;
             };
             if flags.intersects(reads | both) {
-                waits.read.take().into_iter().for_each(Waker::wake);
+                waiters.read.take().into_iter().for_each(Waker::wake);
             }
             if flags.intersects(writes | both) {
-                waits.write.take().into_iter().for_each(Waker::wake);
+                waiters.write.take().into_iter().for_each(Waker::wake);
             }
         }
     }
 }
 
-/// A socket that is watched, until it is dropped or closed.
+/// A registration of a socket.
 pub(crate) struct Source {
-    of: Rc<Sources>,
+    sources: Rc<Sources>,
     index: usize,
 }
 
 impl Source {
-    /// The task is woken at the next event on that side. To be called only when the socket has just said that
-    /// it would wait.
+    /// Lets the task be woken at the next event on this side. To be called only when the socket has just
+    /// returned `WouldBlock`.
     pub(crate) fn wait_for(&self, side: Side, cx: &Context) {
-        if let Some(waits) = &mut self.of.waits.borrow_mut()[self.index] {
-            let place = match side {
-                Side::Read => &mut waits.read,
-                Side::Write => &mut waits.write,
+        if let Some(waiters) = &mut self.sources.waiters.borrow_mut()[self.index] {
+            let waker = match side {
+                Side::Read => &mut waiters.read,
+                Side::Write => &mut waiters.write,
             };
-            match place {
+            match waker {
                 Some(old) => old.clone_from(cx.waker()),
-                None => *place = Some(cx.waker().clone()),
+                None => *waker = Some(cx.waker().clone()),
             }
         }
     }
 
-    /// Ends the watch. The socket may be open for longer, where others hold it.
-    pub(crate) fn end(&self, socket: impl AsFd) {
-        _ = epoll::delete(&self.of.epoll, socket);
-        let taken = self.of.waits.borrow_mut()[self.index].take();
+    /// Stops watching. The socket itself may stay open, if others share it.
+    pub(crate) fn deregister(&self, socket: impl AsFd) {
+        _ = epoll::delete(&self.sources.epoll, socket);
+        let taken = self.sources.waiters.borrow_mut()[self.index].take();
         if taken.is_some() {
-            self.of.free.borrow_mut().push(self.index);
+            self.sources.free.borrow_mut().push(self.index);
         }
     }
 }
--- a/net/src/reactor_tests.rs
+++ b/net/src/reactor_tests.rs
@@ -1,3 +1,5 @@
+//! Tests of timers, sockets and wakes on the reactor.
+
 use crate::{block_on, executor, listen, Listener, Stream, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::net::SocketAddr;
@@ -11,18 +13,18 @@
 }
 
 #[test]
-fn timers_ring_in_order_and_not_early() {
+fn timers_fire_in_order_and_not_early() {
     let exec = executor();
-    let began = Instant::now();
-    let (told, rung) = std::sync::mpsc::channel();
+    let started = Instant::now();
+    let (sender, fired) = std::sync::mpsc::channel();
     block_on(exec.run(async {
         let tasks: Vec<_> = [30, 10, 20, 0, 10]
             .into_iter()
             .map(|span| {
-                let told = told.clone();
+                let sender = sender.clone();
                 exec.spawn(async move {
-                    Timer::at(began + ms(span)).await;
-                    told.send((span, began.elapsed())).unwrap();
+                    Timer::at(started + ms(span)).await;
+                    sender.send((span, started.elapsed())).unwrap();
                 })
             })
             .collect();
@@ -30,39 +32,40 @@
             task.await;
         }
     }));
-    drop(told);
-    let rung: Vec<_> = rung.iter().collect();
-    assert_eq!(rung.iter().map(|it| it.0).collect::<Vec<_>>(), [0, 10, 10, 20, 30]);
-    assert!(rung.iter().all(|it| it.1 >= ms(it.0)), "{rung:?}");
+    drop(sender);
+    let fired: Vec<_> = fired.iter().collect();
+    assert_eq!(fired.iter().map(|(span, _)| *span).collect::<Vec<_>>(), [0, 10, 10, 20, 30]);
+    assert!(fired.iter().all(|(span, elapsed)| *elapsed >= ms(*span)), "{fired:?}");
 }
 
-/// A timer that was dropped wakes nobody and is not kept.
+/// A timer that was dropped wakes no task and is not kept by the reactor.
 #[test]
-fn a_dropped_timer_is_gone() {
+fn a_dropped_timer_is_removed() {
     block_on(async {
-        let began = Instant::now();
+        let started = Instant::now();
         let short = Timer::after(ms(5));
         futures_lite::future::or(short, Timer::after(Duration::from_secs(600))).await;
-        assert!(began.elapsed() < Duration::from_secs(60));
+        assert!(started.elapsed() < Duration::from_secs(60));
     });
-    assert_eq!(crate::reactor::reactor().unwrap().timers(), 0);
+    assert_eq!(crate::reactor::reactor().unwrap().timer_count(), 0);
 }
 
-/// More bytes than a socket holds, so that both sides wait for each other, many times over.
+/// Sends more bytes than a socket buffers, so that both sides wait for each other many times.
 #[test_case(1)]
 #[test_case(50; "many at once")]
-fn all_bytes_come_through(pairs: usize) {
+fn all_bytes_arrive(pairs: usize) {
     const BYTES: usize = 3_000_000;
     let exec = executor();
     block_on(exec.run(async {
         let listener = Listener::bind(ANY).unwrap();
         let to = listener.get_ref().local_addr().unwrap();
         let tasks: Vec<_> = (0..pairs)
-            .map(|ix| {
+            .map(|number| {
                 exec.spawn(async move {
                     let mut stream = Stream::connect(to).await.unwrap();
-                    let bytes: Vec<u8> = (0..BYTES / pairs).map(|it| (it * 7 + ix) as u8).collect();
-                    stream.write_all(&[ix as u8]).await.unwrap();
+                    let bytes: Vec<u8> =
+                        (0..BYTES / pairs).map(|offset| (offset * 7 + number) as u8).collect();
+                    stream.write_all(&[number as u8]).await.unwrap();
                     stream.write_all(&bytes).await.unwrap();
                     stream.close().await.unwrap();
                     let mut back = Vec::new();
@@ -77,8 +80,11 @@
                 let mut stream = Stream::new(socket).unwrap();
                 let mut bytes = Vec::new();
                 stream.read_to_end(&mut bytes).await.unwrap();
-                let ix = bytes.remove(0);
-                assert!(bytes.iter().enumerate().all(|(at, it)| *it == (at * 7 + ix as usize) as u8));
+                let number = bytes.remove(0);
+                assert!(bytes
+                    .iter()
+                    .enumerate()
+                    .all(|(offset, byte)| *byte == (offset * 7 + number as usize) as u8));
                 stream.write_all(bytes.len().to_string().as_bytes()).await.unwrap();
             })
             .detach();
@@ -89,16 +95,16 @@
     }));
 }
 
-/// A thread that sleeps in its sockets is woken by each of many messages of another that sleeps as well.
+/// Two threads that sleep in epoll wake each other with each of many messages.
 #[test]
-fn messages_between_threads_wake() {
+fn messages_wake_a_sleeping_thread() {
     const ROUNDS: usize = 20_000;
     let (to_other, at_other) = async_channel::bounded::<usize>(1);
     let (to_one, at_one) = async_channel::bounded::<usize>(1);
     let other = std::thread::spawn(move || {
         block_on(executor().run(async {
-            while let Ok(it) = at_other.recv().await {
-                to_one.send(it + 1).await.unwrap();
+            while let Ok(number) = at_other.recv().await {
+                to_one.send(number + 1).await.unwrap();
             }
         }));
     });
@@ -115,45 +121,47 @@
     assert_eq!(last, ROUNDS);
 }
 
-/// Found by a rehearsed day: a manager was stopped for two seconds, and who came then was broken off.
+/// In a rehearsal a manager was paused for two seconds, and connections that arrived meanwhile were broken
+/// off.
 #[test]
-fn who_comes_while_nobody_accepts_is_not_lost() {
+fn connections_that_arrive_while_none_are_accepted_are_kept() {
     let listener = listen(ANY).unwrap();
     let to = listener.local_addr().unwrap();
-    let most =
-        std::fs::read_to_string("/proc/sys/net/core/somaxconn").ok().and_then(|it| it.trim().parse().ok());
-    let count = 600.min(most.unwrap_or(128));
+    let limit = std::fs::read_to_string("/proc/sys/net/core/somaxconn")
+        .ok()
+        .and_then(|text| text.trim().parse().ok());
+    let count = 600.min(limit.unwrap_or(128));
     let within = ms(500);
     let waiting: Vec<_> = (0..count).map(|_| std::net::TcpStream::connect_timeout(&to, within)).collect();
-    assert_eq!(waiting.iter().filter(|it| it.is_ok()).count(), count);
+    assert_eq!(waiting.iter().filter(|connection| connection.is_ok()).count(), count);
     let accepted = (0..count).filter(|_| listener.accept().is_ok()).count();
     assert_eq!(accepted, count);
 }
 
 #[test]
-fn nobody_listens() {
+fn connecting_fails_if_no_server_listens() {
     let free = std::net::TcpListener::bind(ANY).unwrap().local_addr().unwrap();
-    let began = Instant::now();
+    let started = Instant::now();
     assert!(block_on(Stream::connect(free)).is_err());
-    assert!(began.elapsed() < Duration::from_secs(5));
+    assert!(started.elapsed() < Duration::from_secs(5));
 }
 
-/// A task that never waits does not keep timers and sockets from being seen.
+/// A task that is always ready does not keep timers and sockets from being polled.
 #[test]
-fn a_busy_task_starves_nobody() {
+fn a_busy_task_does_not_block_timers_and_sockets() {
     let exec = executor();
     let busy = exec.spawn(async {
         loop {
             futures_lite::future::yield_now().await;
         }
     });
-    let began = Instant::now();
+    let started = Instant::now();
     block_on(exec.run(async {
         Timer::after(ms(20)).await;
         let listener = Listener::bind(ANY).unwrap();
         let to = listener.get_ref().local_addr().unwrap();
         _ = futures_lite::future::zip(Stream::connect(to), listener.accept()).await;
     }));
-    assert!(began.elapsed() < Duration::from_secs(5), "{:?}", began.elapsed());
+    assert!(started.elapsed() < Duration::from_secs(5), "{:?}", started.elapsed());
     drop(busy);
 }
--- a/net/src/server.rs
+++ b/net/src/server.rs
@@ -1,7 +1,9 @@
+//! An HTTP server with a limit on its connections.
+
 use crate::body::Body;
-use crate::nursery::TaskGroup;
 use crate::socket::{Listener, Stream};
-use crate::timer::{Timer, Timers};
+use crate::task_group::TaskGroup;
+use crate::timer::{HyperTimers, Timer};
 use futures_lite::AsyncWriteExt;
 use hyper::body::Incoming;
 use hyper::service::service_fn;
@@ -16,107 +18,110 @@
 use std::time::Duration;
 use tracing::{debug, warn};
 
+/// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Connections at once; one more is answered 503 at once and closed.
+    /// Connections that are open at the same time; further ones are answered 503 and closed.
     pub connections: usize,
-    /// A request's head must come within this time, from the connection's start or the last answer on.
+    /// The head of a request must arrive within this time from the start of the connection or the last
+    /// response.
     pub head_timeout: Duration,
 }
 
-/// What all who serve the connections of a listener share, on one thread or several.
+/// Counts of the connections of a listener, shared by all threads that serve them.
 #[derive(Debug, Default)]
 pub struct ConnectionCounts {
     open: AtomicUsize,
     turned_away: AtomicU64,
 }
 
-/// A connection that was accepted, and counts as open until it is dropped.
+/// An accepted connection. It counts as open until it is dropped.
 pub struct Accepted {
     pub stream: TcpStream,
     pub peer: SocketAddr,
-    held: Held,
+    open: OpenConnection,
 }
 
-const NO_ROOM: &[u8] =
+/// The response to a connection above the limit.
+const UNAVAILABLE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nretry-after: 1\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
-/// After a failed accept nothing is accepted for so long.
-const PAUSE: Duration = Duration::from_millis(20);
-/// What is turned away gets its answer within this time, or none.
-const PARTING: Duration = Duration::from_millis(500);
+/// The pause after a failed accept.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// A connection above the limit gets its response within this time, or none.
+const TURN_AWAY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Accepts connections for ever and serves them. A handler's future is dropped when its client closes the
+/// Accepts and serves connections for ever. The handler's future is dropped when the client closes the
 /// connection.
 pub async fn serve<H, F>(
-    nursery: TaskGroup,
+    tasks: TaskGroup,
     listener: Listener,
     limits: Limits,
-    server: Arc<ConnectionCounts>,
+    counts: Arc<ConnectionCounts>,
     handler: H,
 ) where
     H: Fn(Request<Incoming>, ConnectionHandle) -> F + Clone + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
-    let on = nursery.clone();
-    accept(nursery, listener, limits, server, move |accepted| {
-        serve_connection(&on, accepted, limits, handler.clone(), || ());
+    let group = tasks.clone();
+    accept(tasks, listener, limits, counts, move |accepted| {
+        serve_connection(&group, accepted, limits, handler.clone(), || ());
         Ok(())
     })
     .await;
 }
 
-/// Accepts connections for ever and hands each on; one that is handed back is answered 503.
+/// Accepts connections for ever and passes each to `hand_on`; one that it returns is answered 503.
 pub async fn accept(
-    nursery: TaskGroup,
+    tasks: TaskGroup,
     listener: Listener,
     limits: Limits,
-    server: Arc<ConnectionCounts>,
+    counts: Arc<ConnectionCounts>,
     mut hand_on: impl FnMut(Accepted) -> Result<(), Accepted>,
 ) {
-    // When file descriptors run out, this one is given up for as long as it takes to say so to the next
-    // client.
-    let spare = || File::open("/dev/null").ok();
-    let mut reserve = spare();
+    // When file descriptors run out, the spare one is closed for as long as it takes to answer the next
+    // client 503.
+    let open_spare = || File::open("/dev/null").ok();
+    let mut spare = open_spare();
     loop {
         let (stream, peer) = match listener.accept().await {
             Ok(accepted) => accepted,
-            Err(trouble) => {
-                debug!(%trouble, "accept");
-                if reserve.take().is_some() {
-                    if let Some(Ok((stream, _))) = ready(listener.accept()).await {
-                        server.turned_away.fetch_add(1, Ordering::Relaxed);
-                        // Not awaited: the descriptor must be free again at once.
-                        _ = std::io::Write::write(&mut &stream, NO_ROOM);
+            Err(error) => {
+                debug!(%error, "accept failed");
+                if spare.take().is_some() {
+                    if let Some(Ok((stream, _))) = within_a_millisecond(listener.accept()).await {
+                        counts.turned_away.fetch_add(1, Ordering::Relaxed);
+                        // A plain write that does not wait, since the descriptor must be free again at once.
+                        _ = std::io::Write::write(&mut &stream, UNAVAILABLE);
                     }
                 }
-                reserve = spare();
-                if reserve.is_none() {
-                    warn!(%trouble, "no file descriptor is free");
+                spare = open_spare();
+                if spare.is_none() {
+                    warn!(%error, "no file descriptor is free");
                 }
-                Timer::after(PAUSE).await;
+                Timer::after(ACCEPT_PAUSE).await;
                 continue;
             }
         };
-        if reserve.is_none() {
-            reserve = spare();
+        if spare.is_none() {
+            spare = open_spare();
         }
-        if server.open() >= limits.connections {
-            server.turned_away.fetch_add(1, Ordering::Relaxed);
-            turn_away(&nursery, stream);
+        if counts.open() >= limits.connections {
+            counts.turned_away.fetch_add(1, Ordering::Relaxed);
+            turn_away(&tasks, stream);
             continue;
         }
         _ = stream.set_nodelay(true);
-        let accepted = Accepted { stream, peer, held: Held::new(&server) };
+        let accepted = Accepted { stream, peer, open: OpenConnection::new(&counts) };
         if let Err(Accepted { stream, .. }) = hand_on(accepted) {
-            server.turned_away.fetch_add(1, Ordering::Relaxed);
-            turn_away(&nursery, stream);
+            counts.turned_away.fetch_add(1, Ordering::Relaxed);
+            turn_away(&tasks, stream);
         }
     }
 }
 
 /// Serves a connection until it closes, and then calls `closed`.
 pub fn serve_connection<H, F>(
-    nursery: &TaskGroup,
+    tasks: &TaskGroup,
     accepted: Accepted,
     limits: Limits,
     handler: H,
@@ -125,27 +130,27 @@
     H: Fn(Request<Incoming>, ConnectionHandle) -> F + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
-    let Accepted { stream, peer, held } = accepted;
+    let Accepted { stream, peer, open } = accepted;
     let Ok(stream) = Stream::new(stream) else {
         return;
     };
-    let line = ConnectionHandle { socket: stream.share(), peer };
+    let handle = ConnectionHandle { socket: stream.share(), peer };
     let service = service_fn(move |request| {
-        let answer = handler(request, line.clone());
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = handler(request, handle.clone());
+        async move { Ok::<_, Infallible>(response.await) }
     });
-    nursery.spawn(async move {
-        let _held = held;
+    tasks.spawn(async move {
+        let _open = open;
         let mut builder = hyper::server::conn::http1::Builder::new();
-        builder.timer(Timers).header_read_timeout(limits.head_timeout).max_buf_size(64 * 1024);
-        if let Err(trouble) = builder.serve_connection(FuturesIo::new(stream), service).await {
-            debug!(%peer, %trouble, "connection");
+        builder.timer(HyperTimers).header_read_timeout(limits.head_timeout).max_buf_size(64 * 1024);
+        if let Err(error) = builder.serve_connection(FuturesIo::new(stream), service).await {
+            debug!(%peer, %error, "connection failed");
         }
         closed();
     });
 }
 
-/// A connection, as its handler sees it: by a clone another thread may end it in the handler's place.
+/// A connection as its handler sees it. With a clone, another thread can answer in the handler's place.
 #[derive(Clone)]
 pub struct ConnectionHandle {
     socket: Arc<TcpStream>,
@@ -153,65 +158,71 @@
 }
 
 impl ConnectionHandle {
-    /// Writes an answer past the one who serves the connection, and closes it. To be done only by who has won
-    /// the right to answer; whoever serves it writes nothing more.
+    /// Writes a response directly to the socket, bypassing the thread that serves the connection, and closes
+    /// it. To be called only by the thread that has won the right to answer; the serving thread writes
+    /// nothing more.
+    ///
+    /// # Errors
+    /// Those of the write and of the shutdown.
     pub fn answer_and_close(&self, bytes: &[u8]) -> std::io::Result<()> {
         let mut socket = &*self.socket;
-        // It does not wait: an answer fits what a socket holds, unless its client reads nothing.
+        // The write does not wait: a response fits the socket's buffer, unless the client reads nothing.
         let written = std::io::Write::write_all(&mut socket, bytes);
         written.and(socket.shutdown(Shutdown::Both))
     }
 }
 
-struct Held(Arc<ConnectionCounts>);
+/// Counts a connection as open until it is dropped.
+struct OpenConnection(Arc<ConnectionCounts>);
 
-impl Held {
-    fn new(server: &Arc<ConnectionCounts>) -> Held {
-        server.open.fetch_add(1, Ordering::Relaxed);
-        Held(server.clone())
+impl OpenConnection {
+    fn new(counts: &Arc<ConnectionCounts>) -> OpenConnection {
+        counts.open.fetch_add(1, Ordering::Relaxed);
+        OpenConnection(counts.clone())
     }
 }
 
-impl Drop for Held {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl ConnectionCounts {
+    /// Counts that start at zero.
     pub fn new() -> Arc<ConnectionCounts> {
         Arc::default()
     }
 
-    /// Connections that are open.
+    /// The number of open connections.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
-    /// Connections answered 503 because no more could be held.
+    /// The number of connections that were answered 503 because of the limit.
     pub fn turned_away(&self) -> u64 {
         self.turned_away.load(Ordering::Relaxed)
     }
 }
 
-fn turn_away(nursery: &TaskGroup, stream: TcpStream) {
+fn turn_away(tasks: &TaskGroup, stream: TcpStream) {
     let Ok(mut stream) = Stream::new(stream) else {
         return;
     };
-    nursery.spawn(async move {
-        let say = async {
-            _ = stream.write_all(NO_ROOM).await;
+    tasks.spawn(async move {
+        let respond = async {
+            _ = stream.write_all(UNAVAILABLE).await;
             _ = stream.close().await;
         };
-        futures_lite::future::or(say, async {
-            Timer::after(PARTING).await;
+        futures_lite::future::or(respond, async {
+            Timer::after(TURN_AWAY_TIMEOUT).await;
         })
         .await;
     });
 }
 
-/// The outcome if it is there within a moment.
-async fn ready<T>(future: impl Future<Output = T>) -> Option<T> {
+/// The output of the future if it completes within a millisecond.
+async fn within_a_millisecond<T>(future: impl Future<Output = T>) -> Option<T> {
     futures_lite::future::or(async { Some(future.await) }, async {
         Timer::after(Duration::from_millis(1)).await;
         None
--- a/net/src/socket.rs
+++ b/net/src/socket.rs
@@ -1,7 +1,7 @@
-//! Sockets that wait on the thread that made them.
+//! Sockets that are used on the thread that created them.
 
+use crate::error::ThreadShuttingDown;
 use crate::reactor::{reactor, Reactor, Side, Source};
-use crate::trouble::ThreadShuttingDown;
 use futures_lite::{AsyncRead, AsyncWrite};
 use std::future::poll_fn;
 use std::io::{self, ErrorKind, Read, Write};
@@ -11,25 +11,25 @@
 use std::sync::Arc;
 use std::task::{Context, Poll};
 
-fn here() -> io::Result<Rc<Reactor>> {
-    reactor().ok_or_else(|| io::Error::other(ThreadShuttingDown::here()))
+fn current_reactor() -> io::Result<Rc<Reactor>> {
+    reactor().ok_or_else(|| io::Error::other(ThreadShuttingDown::current()))
 }
 
-/// Does it now, or waits for the next event on that side.
+/// Tries the operation, and waits for the next event on this side if it would block.
 fn poll_io<T>(
     source: &Source,
     side: Side,
     cx: &Context,
-    mut what: impl FnMut() -> io::Result<T>,
+    mut operation: impl FnMut() -> io::Result<T>,
 ) -> Poll<io::Result<T>> {
     loop {
-        match what() {
-            Err(it) if it.kind() == ErrorKind::WouldBlock => {
+        match operation() {
+            Err(error) if error.kind() == ErrorKind::WouldBlock => {
                 source.wait_for(side, cx);
                 return Poll::Pending;
             }
-            Err(it) if it.kind() == ErrorKind::Interrupted => {}
-            done => return Poll::Ready(done),
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            result => return Poll::Ready(result),
         }
     }
 }
@@ -41,16 +41,20 @@
 }
 
 impl Stream {
+    /// Watches a connected socket on the calling thread.
+    ///
     /// # Errors
     /// If the system can't watch it.
     pub fn new(socket: TcpStream) -> io::Result<Stream> {
         socket.set_nonblocking(true)?;
-        let source = here()?.watch(&socket)?;
+        let source = current_reactor()?.watch(&socket)?;
         Ok(Stream { socket: Arc::new(socket), source })
     }
 
+    /// Connects to an address.
+    ///
     /// # Errors
-    /// The system's, as of `connect`.
+    /// Those of `connect`.
     pub async fn connect(to: SocketAddr) -> io::Result<Stream> {
         let socket = socket2::Socket::new(
             socket2::Domain::for_address(to),
@@ -58,17 +62,19 @@
             Some(socket2::Protocol::TCP),
         )?;
         match socket.connect(&to.into()) {
-            Err(it) if it.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => {
-                return Err(it);
+            Err(error) if error.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => {
+                return Err(error);
             }
             _ => {}
         }
         let stream = Stream::new(socket.into())?;
         poll_fn(|cx| {
             poll_io(&stream.source, Side::Write, cx, || match stream.socket.take_error()? {
-                Some(trouble) => Err(trouble),
+                Some(error) => Err(error),
                 None => match stream.socket.peer_addr() {
-                    Err(it) if it.kind() == ErrorKind::NotConnected => Err(ErrorKind::WouldBlock.into()),
+                    Err(error) if error.kind() == ErrorKind::NotConnected => {
+                        Err(ErrorKind::WouldBlock.into())
+                    }
                     done => done,
                 },
             })
@@ -77,6 +83,7 @@
         Ok(stream)
     }
 
+    /// The socket itself.
     pub fn get_ref(&self) -> &TcpStream {
         &self.socket
     }
@@ -89,7 +96,7 @@
 
 impl Drop for Stream {
     fn drop(&mut self) {
-        self.source.end(&*self.socket);
+        self.source.deregister(&*self.socket);
     }
 }
 
@@ -121,55 +128,60 @@
     }
 }
 
-/// Connections that the system holds until they are accepted. A process that stands still for seconds loses
-/// none of those who come meanwhile: with 128, as is usual, a rehearsed day broke some off, since a
-/// connection that finds no room is tried again a second later only.
+/// Connections that the system queues until they are accepted. With it, a process that is paused for seconds
+/// loses none of those that arrive meanwhile. With the usual 128, connections were broken off in a rehearsal,
+/// since a connection that finds the queue full is retried only a second later.
 const BACKLOG: i32 = 4_096;
 
-/// Listens, with room for those who wait to be accepted.
+/// Opens a listening socket with a long queue of connections to accept.
 ///
 /// # Errors
-/// The system's, as of `bind` and `listen`.
+/// Those of `bind` and `listen`.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let protocol = Some(socket2::Protocol::TCP);
     let socket =
         socket2::Socket::new(socket2::Domain::for_address(address), socket2::Type::STREAM, protocol)?;
-    // A manager that is started again has its address at once.
+    // Lets a restarted manager use its address at once.
     socket.set_reuse_address(true)?;
     socket.bind(&address.into())?;
     socket.listen(BACKLOG)?;
     Ok(socket.into())
 }
 
-/// A socket that is listened to on one thread.
+/// A listening socket, used on one thread.
 pub struct Listener {
     socket: TcpListener,
     source: Source,
 }
 
 impl Listener {
+    /// Opens a listening socket on the calling thread, as [`listen`].
+    ///
     /// # Errors
-    /// The system's, as of `bind` and `listen`.
+    /// Those of `bind` and `listen`.
     pub fn bind(address: SocketAddr) -> io::Result<Listener> {
         Listener::new(listen(address)?)
     }
 
-    /// Listens on the calling thread.
+    /// Accepts connections of a listening socket on the calling thread.
     ///
     /// # Errors
     /// If the system can't watch it.
     pub fn new(socket: TcpListener) -> io::Result<Listener> {
         socket.set_nonblocking(true)?;
-        let source = here()?.watch(&socket)?;
+        let source = current_reactor()?.watch(&socket)?;
         Ok(Listener { socket, source })
     }
 
+    /// Accepts the next connection.
+    ///
     /// # Errors
-    /// The system's, as of `accept`.
+    /// Those of `accept`.
     pub async fn accept(&self) -> io::Result<(TcpStream, SocketAddr)> {
         poll_fn(|cx| poll_io(&self.source, Side::Read, cx, || self.socket.accept())).await
     }
 
+    /// The socket itself.
     pub fn get_ref(&self) -> &TcpListener {
         &self.socket
     }
@@ -177,44 +189,49 @@
 
 impl Drop for Listener {
     fn drop(&mut self) {
-        self.source.end(&self.socket);
+        self.source.deregister(&self.socket);
     }
 }
 
-/// A socket for datagrams, on one thread.
+/// A UDP socket, used on one thread.
 pub struct Datagrams {
     socket: UdpSocket,
     source: Source,
 }
 
 impl Datagrams {
+    /// Opens a socket at this address.
+    ///
     /// # Errors
-    /// The system's, as of `bind`.
+    /// Those of `bind`.
     pub fn bind(address: SocketAddr) -> io::Result<Datagrams> {
         Datagrams::new(UdpSocket::bind(address)?)
     }
 
+    /// Watches a socket on the calling thread.
+    ///
     /// # Errors
     /// If the system can't watch it.
     pub fn new(socket: UdpSocket) -> io::Result<Datagrams> {
         socket.set_nonblocking(true)?;
-        let source = here()?.watch(&socket)?;
+        let source = current_reactor()?.watch(&socket)?;
         Ok(Datagrams { socket, source })
     }
 
-    /// The next datagram: how long it is, and who sent it.
+    /// Receives the next datagram; returns its length and its sender.
     ///
     /// # Errors
-    /// The system's, as of `recvfrom`.
+    /// Those of `recvfrom`.
     pub async fn receive(&self, bytes: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         poll_fn(|cx| poll_io(&self.source, Side::Read, cx, || self.socket.recv_from(bytes))).await
     }
 
-    /// Sends it or loses it, as the network might.
+    /// Sends a datagram. Errors are ignored, as a loss on the network would be.
     pub fn send(&self, bytes: &[u8], to: SocketAddr) {
         _ = self.socket.send_to(bytes, to);
     }
 
+    /// The socket itself.
     pub fn get_ref(&self) -> &UdpSocket {
         &self.socket
     }
@@ -222,6 +239,6 @@
 
 impl Drop for Datagrams {
     fn drop(&mut self) {
-        self.source.end(&self.socket);
+        self.source.deregister(&self.socket);
     }
 }
