--- a/membership/src/auth/tests/mod.rs
+++ b/membership/src/auth/tests/mod.rs
@@ -1,3 +1,5 @@
+//! Tests of the authentication of datagrams between members A and B.
+
 use super::*;
 
 mod challenge;
@@ -11,15 +13,15 @@
 const B: MemberId = MemberId(0xb2);
 const NOW: Ms = Ms(60_000.0);
 
-fn keyed(me: MemberId, instance: u64, keys: &str) -> DatagramAuth {
-    DatagramAuth::new(me, InstanceId(instance), "harbour", Keys::read(keys).unwrap(), instance ^ 7)
+fn keyed(own_id: MemberId, instance: u64, keys: &str) -> DatagramAuth {
+    DatagramAuth::new(own_id, InstanceId(instance), "harbour", Keys::read(keys).unwrap(), instance ^ 7)
 }
 
-fn auth(me: MemberId, instance: u64) -> DatagramAuth {
-    keyed(me, instance, NEW)
+fn auth(own_id: MemberId, instance: u64) -> DatagramAuth {
+    keyed(own_id, instance, NEW)
 }
 
-/// Opened as the messages of these tests: a number each.
+/// Opens a datagram whose message is a number.
 fn open(auth: &mut DatagramAuth, now: Ms, bytes: &[u8]) -> Opened<u32> {
     auth.open(now, bytes)
 }
@@ -28,32 +30,32 @@
     Opened::Message { from, instance: InstanceId(instance), message }
 }
 
-fn dropped(why: DropReason) -> Opened<u32> {
-    Opened::Dropped(why)
+fn dropped(reason: DropReason) -> Opened<u32> {
+    Opened::Dropped(reason)
 }
 
 fn challenge(auth: &mut DatagramAuth, now: Ms, bytes: &[u8]) -> Vec<u8> {
     match open(auth, now, bytes) {
-        Opened::Challenge(it) => it,
+        Opened::Challenge(bytes) => bytes,
         other => panic!("no challenge: {other:?}"),
     }
 }
 
 fn resend(auth: &mut DatagramAuth, now: Ms, bytes: &[u8]) -> Vec<u8> {
     match open(auth, now, bytes) {
-        Opened::Resend(it) => it,
-        other => panic!("nothing sent again: {other:?}"),
+        Opened::Resend(bytes) => bytes,
+        other => panic!("no message was sent again: {other:?}"),
     }
 }
 
-/// The first datagram from one to another, up to the echo, which is not opened yet.
+/// Sends a first datagram and a challenge; returns the echo, which the receiver has not opened yet.
 fn echo(from: &mut DatagramAuth, to: &mut DatagramAuth, now: Ms, message: u32) -> Vec<u8> {
     let first = from.seal(Some(to.own_id), &message).unwrap();
-    let asked = challenge(to, now, &first);
-    resend(from, now, &asked)
+    let challenged = challenge(to, now, &first);
+    resend(from, now, &challenged)
 }
 
-/// Two that know each other.
+/// Two members that have verified each other.
 fn pair() -> (DatagramAuth, DatagramAuth) {
     let (mut a, mut b) = (auth(A, 1), auth(B, 2));
     let echo = echo(&mut a, &mut b, NOW, 5);
--- a/membership/src/auth/tests/random_datagrams.rs
+++ b/membership/src/auth/tests/random_datagrams.rs
@@ -1,4 +1,4 @@
-//! Flipped bits, cuts, replays and reordering by rng; keys that follow one another.
+//! Random bit flips, truncation, replays and reordering; and the rotation of keys.
 
 use super::*;
 use proptest::prelude::*;
@@ -47,59 +47,59 @@
     #[test]
     fn replays_in_any_order_open_at_most_once(order in prop::collection::vec(0..400u32, 1..800)) {
         let (mut a, mut b) = pair();
-        let sent: Vec<_> = (0..400u32).map(|it| a.seal(Some(B), &it).unwrap()).collect();
-        let mut times = vec![0; sent.len()];
+        let sent: Vec<_> = (0..400u32).map(|number| a.seal(Some(B), &number).unwrap()).collect();
+        let mut accepted_count = vec![0; sent.len()];
         let mut highest = 0;
-        for no in order {
-            let fresh = times[no as usize] == 0 && no + WINDOW as u32 > highest;
-            let wanted = if fresh { accepted(A, 1, no) } else { dropped(DropReason::Replayed) };
-            prop_assert_eq!(open(&mut b, NOW, &sent[no as usize]), wanted);
-            times[no as usize] += u32::from(fresh);
-            highest = highest.max(no);
+        for number in order {
+            let fresh = accepted_count[number as usize] == 0 && number + WINDOW as u32 > highest;
+            let expected = if fresh { accepted(A, 1, number) } else { dropped(DropReason::Replayed) };
+            prop_assert_eq!(open(&mut b, NOW, &sent[number as usize]), expected);
+            accepted_count[number as usize] += u32::from(fresh);
+            highest = highest.max(number);
         }
-        prop_assert!(times.iter().all(|it| *it <= 1));
+        prop_assert!(accepted_count.iter().all(|count| *count <= 1));
     }
 
     #[test]
     fn reordering_within_the_window_loses_nothing(late in prop::collection::vec(0..WINDOW as u32, 400)) {
         let (mut a, mut b) = pair();
-        // Each is late by less than the window, so all of them are opened.
-        let mut order: Vec<_> = (0u32..).zip(late).map(|(no, late)| (no + late, no)).collect();
+        // Each is late by less than the window, so all are accepted.
+        let mut order: Vec<_> = (0u32..).zip(late).map(|(number, late)| (number + late, number)).collect();
         order.sort_unstable();
-        let bytes: Vec<_> = (0..400u32).map(|it| a.seal(Some(B), &it).unwrap()).collect();
-        for (_, no) in order {
-            prop_assert_eq!(open(&mut b, NOW, &bytes[no as usize]), accepted(A, 1, no));
+        let bytes: Vec<_> = (0..400u32).map(|number| a.seal(Some(B), &number).unwrap()).collect();
+        for (_, number) in order {
+            prop_assert_eq!(open(&mut b, NOW, &bytes[number as usize]), accepted(A, 1, number));
         }
     }
 }
 
-/// One after another, members get the second key, then sign with it, then lose the first.
-#[test_case(OLD, "old\nnew", true; "the new one is believed first")]
-#[test_case("old\nnew", "new\nold", true; "then it signs")]
-#[test_case("new\nold", NEW, true; "then the old one goes")]
-#[test_case(OLD, NEW, false; "all at once does not work")]
-fn keys_can_be_rotated_member_by_member(before: &str, after: &str, last_heard: bool) {
-    let spelt = |it: &str| match it {
+/// Members get the second key one by one, then use it to seal, then lose the first.
+#[test_case(OLD, "old\nnew", true; "first the new key is accepted")]
+#[test_case("old\nnew", "new\nold", true; "then it seals")]
+#[test_case("new\nold", NEW, true; "then the old key is removed")]
+#[test_case(OLD, NEW, false; "replacing the key in one step does not work")]
+fn keys_can_be_rotated_member_by_member(before: &str, after: &str, accepts: bool) {
+    let key_file = |keys: &str| match keys {
         "old\nnew" => format!("{OLD}\n{NEW}"),
         "new\nold" => format!("{NEW}\n{OLD}"),
-        one => one.to_string(),
+        single => single.to_string(),
     };
-    let (before, after) = (spelt(before), spelt(after));
+    let (before, after) = (key_file(before), key_file(after));
     let (mut a, mut b) = (keyed(A, 1, &before), keyed(B, 2, &before));
     let proof = echo(&mut a, &mut b, NOW, 5);
     assert_eq!(open(&mut b, NOW, &proof), accepted(A, 1, 5));
-    // One of the two has the new file already, and back.
+    // Member A has the new keys already, and B does not.
     a.set_keys(&Keys::read(&after).unwrap());
     let (there, back) = (a.seal(Some(B), &6u32).unwrap(), b.seal(Some(A), &7u32).unwrap());
-    let wanted = |it| if last_heard { it } else { dropped(DropReason::BadMac) };
-    assert_eq!(open(&mut b, NOW, &there), wanted(accepted(A, 1, 6)));
-    assert_eq!(open(&mut a, NOW, &back), wanted(accepted(B, 2, 7)));
+    let outcome = |opened| if accepts { opened } else { dropped(DropReason::BadMac) };
+    assert_eq!(open(&mut b, NOW, &there), outcome(accepted(A, 1, 6)));
+    assert_eq!(open(&mut a, NOW, &back), outcome(accepted(B, 2, 7)));
     let mut c = keyed(MemberId(3), 3, &after);
     let first = c.seal(None, &8u32).unwrap();
-    if last_heard {
-        let asked = challenge(&mut b, NOW, &first);
-        let again = resend(&mut c, NOW, &asked);
-        assert_eq!(open(&mut b, NOW, &again), accepted(MemberId(3), 3, 8));
+    if accepts {
+        let challenged = challenge(&mut b, NOW, &first);
+        let resent = resend(&mut c, NOW, &challenged);
+        assert_eq!(open(&mut b, NOW, &resent), accepted(MemberId(3), 3, 8));
     } else {
         assert_eq!(open(&mut b, NOW, &first), dropped(DropReason::BadMac));
     }
--- a/membership/tests/direct/main.rs
+++ b/membership/tests/direct/main.rs
@@ -1,9 +1,11 @@
-//! The machine by itself, with messages made by hand.
+//! The state machine of one member, driven with messages made by the test.
 
-mod hands;
 mod limits;
+mod member;
 
-use hands::{body, gossip, local_member, member_knowing_two, run_to, run_until_probe, sender, state, update};
+use member::{
+    body, gossip, local_member, member_knowing_two, run_to, run_until_probe, sender, state, update,
+};
 use ottersail::time::Ms;
 use ottersail_membership::{
     Body, Change, Incarnation, InstanceId, LocalMember, Members, Message, Reachability, Sender, State, Update,
@@ -12,7 +14,7 @@
 
 #[test_case(true, State::Suspect; "answered just now")]
 #[test_case(false, State::Dead; "not answered")]
-fn a_reported_death_only_starts_a_suspicion_after_a_recent_ack(answered: bool, held: State) {
+fn a_reported_death_only_starts_a_suspicion_after_a_recent_ack(answered: bool, expected: State) {
     let (mut members, mut effects) = member_knowing_two(|_| {});
     let mut now = 0.0;
     let number = run_until_probe(&mut members, &mut effects, &mut now, 3);
@@ -21,11 +23,11 @@
     }
     effects.sent.clear();
     members.handle_message(Ms(now), sender(2), gossip(vec![update(3, State::Dead, 0)]), &mut effects);
-    assert_eq!(state(&members, 3), Some(held));
+    assert_eq!(state(&members, 3), Some(expected));
     let probes = effects
         .sent
         .iter()
-        .filter(|(to, it)| *to == sender(3).address && matches!(it.body, Body::Probe { .. }));
+        .filter(|(to, message)| *to == sender(3).address && matches!(message.body, Body::Probe { .. }));
     assert_eq!(probes.count(), usize::from(answered));
 }
 
@@ -36,7 +38,7 @@
     members.handle_message(Ms(1.0), sender(2), gossip(vec![update(3, State::Suspect, 0)]), &mut effects);
     members.handle_deadline(Ms(60_000.0), &mut effects);
     assert_eq!(state(&members, 3), Some(State::Suspect));
-    assert!(effects.changes.iter().any(|it| matches!(it, Change::Paused { .. })));
+    assert!(effects.changes.iter().any(|change| matches!(change, Change::Paused { .. })));
     assert_eq!(members.counters().health, 1);
     members.handle_deadline(Ms(60_900.0), &mut effects);
     assert_eq!(state(&members, 3), Some(State::Suspect));
@@ -51,13 +53,13 @@
     let before = (effects.dials.len(), members.counters().suspicions);
     now = members.next_deadline().0 + 10_000.0;
     members.handle_deadline(Ms(now), &mut effects);
-    let again = |it: &Body| match it {
+    let repeats = |body: &Body| match body {
         Body::ProbeRequest { .. } => true,
-        Body::Probe { number: it, .. } => *it == number,
+        Body::Probe { number: sent, .. } => *sent == number,
         _ => false,
     };
-    let asked = effects.sent.iter().filter(|(_, it)| again(&it.body)).count();
-    assert_eq!((asked, (effects.dials.len(), members.counters().suspicions)), (0, before));
+    let repeated = effects.sent.iter().filter(|(_, message)| repeats(&message.body)).count();
+    assert_eq!((repeated, (effects.dials.len(), members.counters().suspicions)), (0, before));
     members.handle_message(Ms(now), sender(3), body(Body::Ack { number }), &mut effects);
     assert_eq!(members.counters().acks, 1);
 }
@@ -65,8 +67,8 @@
 #[test]
 fn no_suspicion_ends_before_two_periods() {
     let (mut members, mut effects) = member_knowing_two(|_| {});
-    for by in [2, 4] {
-        let suspect = Update { reported_by: Some(sender(by).id), ..update(3, State::Suspect, 0) };
+    for reporter in [2, 4] {
+        let suspect = Update { reported_by: Some(sender(reporter).id), ..update(3, State::Suspect, 0) };
         members.handle_message(Ms(1.0), sender(2), gossip(vec![suspect]), &mut effects);
     }
     run_to(&mut members, &mut effects, 1990.0);
@@ -91,20 +93,24 @@
     effects.sent.clear();
     let LocalMember { id: to, instance, .. } = local_member("m1", 1);
     members.handle_message(Ms(400.0), sender(3), body(Body::Probe { number: 1, to, instance }), &mut effects);
-    let told: Vec<_> =
-        effects.sent.iter().flat_map(|(_, it)| &it.updates).map(|it| (it.member, it.state)).collect();
+    let told: Vec<_> = effects
+        .sent
+        .iter()
+        .flat_map(|(_, message)| &message.updates)
+        .map(|update| (update.member, update.state))
+        .collect();
     assert_eq!(told, [(sender(3).id, State::Suspect)]);
 }
 
-/// The rumour of it may have died down before it came here.
-#[test_case(0, State::Suspect; "the word that was suspected")]
-#[test_case(1, State::Alive; "a newer one")]
-fn a_datagram_with_a_newer_incarnation_ends_a_suspicion(incarnation: u32, held: State) {
+/// The refutation of a suspicion may cease to be gossiped before it reaches this member.
+#[test_case(0, State::Suspect; "the suspected incarnation")]
+#[test_case(1, State::Alive; "a newer incarnation")]
+fn a_datagram_with_a_newer_incarnation_ends_a_suspicion(incarnation: u32, expected: State) {
     let (mut members, mut effects) = member_knowing_two(|_| {});
     members.handle_message(Ms(1.0), sender(2), gossip(vec![update(3, State::Suspect, 0)]), &mut effects);
-    let word = Message { incarnation: Incarnation(incarnation), ..gossip(vec![]) };
-    members.handle_message(Ms(2.0), sender(3), word, &mut effects);
-    assert_eq!(state(&members, 3), Some(held));
+    let message = Message { incarnation: Incarnation(incarnation), ..gossip(vec![]) };
+    members.handle_message(Ms(2.0), sender(3), message, &mut effects);
+    assert_eq!(state(&members, 3), Some(expected));
 }
 
 #[test]
@@ -112,11 +118,11 @@
     let (mut members, mut effects) = member_knowing_two(|_| {});
     let mut now = 0.0;
     let number = run_until_probe(&mut members, &mut effects, &mut now, 3);
-    let former = Sender { instance: InstanceId(99), ..sender(3) };
-    members.handle_message(Ms(now), former, body(Body::Ack { number }), &mut effects);
+    let earlier = Sender { instance: InstanceId(99), ..sender(3) };
+    members.handle_message(Ms(now), earlier, body(Body::Ack { number }), &mut effects);
     assert_eq!(members.counters().acks, 0);
     let reachability =
-        members.others().find(|(id, _)| **id == sender(3).id).map(|(_, known)| known.reachability);
+        members.others().find(|(id, _)| **id == sender(3).id).map(|(_, view)| view.reachability);
     assert_ne!(reachability, Some(Reachability::Mutual));
 }
 
@@ -135,13 +141,13 @@
     effects.sent.clear();
     let probe = Body::Probe { number: 1, to: sender(1).id, instance: InstanceId(99) };
     members.handle_message(Ms(1.0), sender(2), body(probe), &mut effects);
-    let bodies: Vec<_> = effects.sent.iter().map(|(_, it)| it.body.clone()).collect();
+    let bodies: Vec<_> = effects.sent.iter().map(|(_, message)| message.body.clone()).collect();
     assert_eq!(bodies, [Body::Gossip]);
     assert!(effects.sent[0]
         .1
         .updates
         .iter()
-        .any(|it| it.member == sender(1).id && it.instance == sender(1).instance));
+        .any(|update| update.member == sender(1).id && update.instance == sender(1).instance));
 }
 
 #[test]
@@ -153,8 +159,8 @@
     assert_eq!(members.counters().refutations, 1);
     members.handle_deadline(Ms(200.0), &mut effects);
     let told = effects.sent.iter().flat_map(|(_, message)| &message.updates);
-    let mine: Vec<&Update> = told.filter(|update| update.member == sender(1).id).collect();
-    assert!(mine.iter().any(|update| update.incarnation == Incarnation(5) && update.state == State::Alive));
+    let own: Vec<&Update> = told.filter(|update| update.member == sender(1).id).collect();
+    assert!(own.iter().any(|update| update.incarnation == Incarnation(5) && update.state == State::Alive));
 }
 
 #[test]
@@ -172,9 +178,9 @@
     assert_eq!(state(&members, 3), Some(State::Alive));
 }
 
-#[test_case(true, 0; "the helper says not yet")]
+#[test_case(true, 0; "the helper sends a nack")]
 #[test_case(false, 1; "the helper is silent")]
-fn a_silent_helper_degrades_the_local_health(nacked: bool, worse: u32) {
+fn a_silent_helper_degrades_the_local_health(nacked: bool, expected_health: u32) {
     let (mut members, mut effects) = member_knowing_two(|_| {});
     // Member 2 answers its own probes; member 3 answers nothing.
     while state(&members, 3) == Some(State::Alive) {
@@ -191,5 +197,5 @@
         }
         members.handle_deadline(now, &mut effects);
     }
-    assert_eq!(members.counters().health, worse);
+    assert_eq!(members.counters().health, expected_health);
 }
