--- a/membership/examples/hard.rs
+++ b/membership/examples/hard.rs
@@ -1,6 +1,7 @@
 //! Fault scenarios in simulated time: seven in ten members killed at once, packet loss, a member short of
-//! CPU, pauses, and a paused member that nobody hears. `cargo run --release -p ottersail-membership --example
-//! hard`
+//! CPU, pauses, and a paused member that nobody hears.
+//!
+//! `cargo run --release -p ottersail-membership --example hard`
 
 #[path = "../tests/sim/mod.rs"]
 mod sim;
@@ -149,7 +150,7 @@
         observers += dead;
         suspected += network.nodes.iter().map(|node| node.changes_into(from, State::Suspect)).sum::<usize>();
     }
-    let direction = if unheard { "nobody hears three" } else { "three hear nobody" };
+    let direction = if unheard { "three are not heard" } else { "three hear nobody" };
     println!(
         "{direction}, paused {paused}: of 60 runs {runs} with a member dead to most, \
          {observers} observers, {suspected} suspicions"
--- a/membership/src/auth/cookie.rs
+++ b/membership/src/auth/cookie.rs
@@ -16,15 +16,18 @@
 pub struct Cookies(HmacSha256);
 
 impl Cookies {
+    /// `key` is the key that seals datagrams; `seed` and `instance` are new at each start.
     pub fn new(key: &[u8], seed: u64, instance: InstanceId) -> Cookies {
         let secret = mac_of(key).chain_update(seed.to_be_bytes()).chain_update(instance.0.to_be_bytes());
         Cookies(mac_of(&secret.finalize().into_bytes()))
     }
 
+    /// The cookie for an instance at this time.
     pub fn make(&self, now: Ms, instance: (MemberId, InstanceId)) -> [u8; COOKIE_BYTES] {
         self.cookie_in(interval(now), instance)
     }
 
+    /// Whether the cookie was made for this instance recently enough.
     pub fn is_valid(&self, now: Ms, instance: (MemberId, InstanceId), cookie: &[u8]) -> bool {
         let current = interval(now);
         // The comparison need not take constant time: a guess has to carry a MAC made with the cluster's
--- a/membership/src/auth/error.rs
+++ b/membership/src/auth/error.rs
@@ -49,6 +49,7 @@
 }
 
 impl DropReason {
+    /// All reasons.
     pub const ALL: [DropReason; 10] = [
         DropReason::TooShort,
         DropReason::TooLong,
--- a/membership/src/auth/frame.rs
+++ b/membership/src/auth/frame.rs
@@ -11,7 +11,9 @@
 
 /// The longest datagram in bytes. It passes any path without fragmentation (IPv6's least MTU is 1,280).
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
+/// Length of the header.
 pub const HEADER_BYTES: usize = 38;
+/// Length of the truncated MAC at the end.
 pub const MAC_BYTES: usize = 16;
 
 /// What a datagram is for.
@@ -25,6 +27,7 @@
     Echo = 2,
 }
 
+/// The fields before the body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
     pub version: u8,
@@ -36,6 +39,7 @@
     pub counter: u64,
 }
 
+/// A MAC that starts with this key.
 pub fn mac_of(key: &[u8]) -> HmacSha256 {
     // HMAC takes a key of any length, so this can't fail.
     <HmacSha256 as Mac>::new_from_slice(key).expect("HMAC takes keys of any length")
--- a/membership/src/auth/instances.rs
+++ b/membership/src/auth/instances.rs
@@ -32,6 +32,7 @@
 pub struct Instances(BTreeMap<(MemberId, InstanceId), Entry>);
 
 impl Instances {
+    /// The number of stored instances.
     pub fn count(&self) -> usize {
         self.0.len()
     }
--- a/membership/tests/direct/main.rs
+++ b/membership/tests/direct/main.rs
@@ -93,13 +93,13 @@
     effects.sent.clear();
     let LocalMember { id: to, instance, .. } = local_member("m1", 1);
     members.handle_message(Ms(400.0), sender(3), body(Body::Probe { number: 1, to, instance }), &mut effects);
-    let told: Vec<_> = effects
+    let statements: Vec<_> = effects
         .sent
         .iter()
         .flat_map(|(_, message)| &message.updates)
         .map(|update| (update.member, update.state))
         .collect();
-    assert_eq!(told, [(sender(3).id, State::Suspect)]);
+    assert_eq!(statements, [(sender(3).id, State::Suspect)]);
 }
 
 /// The refutation of a suspicion may cease to be gossiped before it reaches this member.
@@ -158,8 +158,8 @@
     }
     assert_eq!(members.counters().refutations, 1);
     members.handle_deadline(Ms(200.0), &mut effects);
-    let told = effects.sent.iter().flat_map(|(_, message)| &message.updates);
-    let own: Vec<&Update> = told.filter(|update| update.member == sender(1).id).collect();
+    let sent = effects.sent.iter().flat_map(|(_, message)| &message.updates);
+    let own: Vec<&Update> = sent.filter(|update| update.member == sender(1).id).collect();
     assert!(own.iter().any(|update| update.incarnation == Incarnation(5) && update.state == State::Alive));
 }
 
