--- a/front/src/baseline.rs
+++ b/front/src/baseline.rs
@@ -1,6 +1,6 @@
-//! Plain picks, for comparison only, in the laboratory, in benchmarks and on the rig: no split, no pace, no
-//! budget, no health, no steps. They keep what a manager can't do without: floors, and one tune-in for each
-//! viewing.
+//! Simple placement policies, for comparison in the laboratory, in benchmarks and on the rig. They have no
+//! split, no rate limit at cold servers, no resend budget, no health tracking and no steps. They keep the
+//! floors, and send one tune-in for each viewing.
 
 use crate::decisions::{Decisions, TuneInEnd};
 use ottersail::actions::PlacementActions;
@@ -10,17 +10,19 @@
 use ottersail::time::Ms;
 use std::collections::BTreeMap;
 
+/// How a holder and a rung are chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pick {
     /// A random holder, at the highest rung that the player can use.
     Random,
-    /// The holder whose link was last told to be asked least, at the highest rung.
+    /// The holder with the lowest last reported link load, at the highest rung.
     LeastLoaded,
     /// A random holder, at the package's lowest rung.
     LowestRung,
 }
 
-/// By their names in a day's file and on the command line.
+/// The policies by their names in scenario files and on the command line; `None` stands for the decisions of
+/// this project.
 pub const PICKS: &[(&str, Option<Pick>)] = &[
     ("own", None),
     ("random", Some(Pick::Random)),
@@ -28,64 +30,69 @@
     ("lowest-rung", Some(Pick::LowestRung)),
 ];
 
+/// Decisions by one of the policies.
 pub struct Baseline {
     pick: Pick,
-    terms: PlacementConfig,
-    cells: BTreeMap<Cell, Vec<ServerId>>,
-    asked: BTreeMap<ServerId, f64>,
+    config: PlacementConfig,
+    servers_by_cell: BTreeMap<Cell, Vec<ServerId>>,
+    /// Last reported load of each server's link.
+    link_loads: BTreeMap<ServerId, f64>,
     rng: fastrand::Rng,
 }
 
 impl Baseline {
-    pub fn new(terms: PlacementConfig, pick: Pick, seed: u64) -> Baseline {
-        let (cells, asked, rng) = (BTreeMap::new(), BTreeMap::new(), fastrand::Rng::with_seed(seed));
-        Baseline { pick, terms, cells, asked, rng }
+    pub fn new(config: PlacementConfig, pick: Pick, seed: u64) -> Baseline {
+        let rng = fastrand::Rng::with_seed(seed);
+        Baseline { pick, config, servers_by_cell: BTreeMap::new(), link_loads: BTreeMap::new(), rng }
     }
 }
 
 impl Decisions for Baseline {
     fn package_named(&self, name: &str) -> Option<PackageIndex> {
-        self.terms.packages.iter().position(|it| it.name == name).map(PackageIndex)
+        self.config.packages.iter().position(|package| package.name == name).map(PackageIndex)
     }
 
     fn tenant_named(&self, name: &str) -> Option<TenantIndex> {
-        self.terms.tenants.iter().position(|it| it.name == name).map(TenantIndex)
+        self.config.tenants.iter().position(|tenant| tenant.name == name).map(TenantIndex)
     }
 
     fn update_servers(&mut self, _: Ms, _: ListMode, entries: &[ServerEntry], _: &mut dyn PlacementActions) {
         for entry in entries {
-            let there = self.cells.entry(entry.cell).or_default();
-            there.retain(|it| *it != entry.server);
+            let in_cell = self.servers_by_cell.entry(entry.cell).or_default();
+            in_cell.retain(|server| *server != entry.server);
             if entry.availability == Availability::Up {
-                there.push(entry.server.clone());
+                in_cell.push(entry.server.clone());
             } else {
-                self.asked.remove(&entry.server);
+                self.link_loads.remove(&entry.server);
             }
         }
     }
 
-    fn request_viewing(&mut self, now: Ms, wish: ViewingRequest, out: &mut dyn PlacementActions) {
-        let cells = (0..wish.cell_count).map(|it| Cell((wish.first_cell + it) % self.terms.cells.max(1)));
-        let holders: Vec<&ServerId> = cells.filter_map(|it| self.cells.get(&it)).flatten().collect();
+    fn request_viewing(&mut self, now: Ms, request: ViewingRequest, actions: &mut dyn PlacementActions) {
+        let cells = (0..request.cell_count)
+            .map(|offset| Cell((request.first_cell + offset) % self.config.cells.max(1)));
+        let holders: Vec<&ServerId> =
+            cells.filter_map(|cell| self.servers_by_cell.get(&cell)).flatten().collect();
         if holders.is_empty() {
-            return out.shed(&wish.viewing, None);
+            return actions.shed(&request.viewing, None);
         }
-        let at = self.rng.usize(..holders.len());
-        let asked = |it: &ServerId| self.asked.get(it).copied().unwrap_or(0.0);
+        let start = self.rng.usize(..holders.len());
+        let load = |server: &ServerId| self.link_loads.get(server).copied().unwrap_or(0.0);
         let server = match self.pick {
-            Pick::Random | Pick::LowestRung => holders[at].clone(),
+            Pick::Random | Pick::LowestRung => holders[start].clone(),
             Pick::LeastLoaded => {
-                // Of equals the first from a random one on.
-                let turned = holders[at..].iter().chain(&holders[..at]);
-                turned
-                    .min_by(|a, b| asked(a).total_cmp(&asked(b)))
-                    .map_or(holders[at].clone(), |it| (*it).clone())
+                // Starts the search at a random holder, which breaks ties at random.
+                let rotated = holders[start..].iter().chain(&holders[..start]);
+                rotated
+                    .min_by(|a, b| load(a).total_cmp(&load(b)))
+                    .map_or(holders[start].clone(), |server| (*server).clone())
             }
         };
-        let package = &self.terms.packages[wish.package.0];
-        let best = wish.max_rung.min(package.top).max(package.floor);
-        out.step_to(&wish.viewing, if self.pick == Pick::LowestRung { package.floor } else { best });
-        out.tune_in(&wish.viewing, &server, wish.deadline - now);
+        let package = &self.config.packages[request.package.0];
+        let highest = request.max_rung.min(package.top).max(package.floor);
+        let rung = if self.pick == Pick::LowestRung { package.floor } else { highest };
+        actions.step_to(&request.viewing, rung);
+        actions.tune_in(&request.viewing, &server, request.deadline - now);
     }
 
     fn timer_fired(&mut self, _: Ms, _: TimerTag, _: &mut dyn PlacementActions) {}
@@ -95,16 +102,16 @@
     fn tune_in_ended(
         &mut self,
         _: Ms,
-        vw: &ViewingId,
-        ended: TuneInEnd,
+        viewing: &ViewingId,
+        end: TuneInEnd,
         load: Load,
-        out: &mut dyn PlacementActions,
+        actions: &mut dyn PlacementActions,
     ) {
-        if let Some(asked) = load.link {
-            self.asked.insert(ended.server, asked);
+        if let Some(link_load) = load.link {
+            self.link_loads.insert(end.server, link_load);
         }
-        if !ended.last {
-            out.abort(vw);
+        if !end.last {
+            actions.abort(viewing);
         }
     }
 
@@ -118,7 +125,7 @@
         _: &mut dyn PlacementActions,
     ) {
         if topic == Topic::LinkAsked {
-            self.asked.insert(server.clone(), value);
+            self.link_loads.insert(server.clone(), value);
         }
     }
 
--- a/front/src/front.rs
+++ b/front/src/front.rs
@@ -1,177 +1,181 @@
-//! The front: one method for each thing that happens. What the methods do lies by concern in files below.
+//! [`Front`]: construction, timers and queries. The other inputs are in the modules below, by topic.
 
-mod desk;
-mod ends;
-mod hand;
-mod house;
+mod actions;
+mod endings;
 mod lists;
 mod notes;
-mod owed;
 mod playlists;
 mod requests;
+mod settings;
+mod state;
 mod steps;
 mod tune_ins;
+mod viewing;
 
-pub use desk::Counts;
-pub use house::FrontSettings;
-pub use owed::PROBE_TIMEOUT;
+pub use settings::FrontSettings;
+pub use state::Counts;
+pub use viewing::PROBE_TIMEOUT;
 
 use crate::decisions::Decisions;
 use crate::effects::{Effects, SlotShare};
-use desk::Desk;
-use hand::Hand;
+use actions::ActionHandler;
 use ottersail::actions::PlacementActions;
 use ottersail::config::PlacementConfig;
 use ottersail::ids::{TimerTag, ViewingId};
 use ottersail::placement::Placement;
 use ottersail::state::{Load, Outcome};
 use ottersail::time::Ms;
-use owed::{Alarm, Place};
+use state::FrontState;
 use tracing::info;
+use viewing::{TimerKey, ViewingPhase};
 
-/// The session manager without its sockets: the decisions, and what is held for them.
+/// A session manager without its sockets: the decisions, and the state of requests, viewings and servers.
 pub struct Front {
-    placement: Box<dyn Decisions>,
-    desk: Desk,
+    decisions: Box<dyn Decisions>,
+    state: FrontState,
 }
 
 impl Front {
-    /// A front whose decisions are those of this project.
+    /// A front with the decisions of [`Placement`].
     pub fn new(
         now: Ms,
         seed: u64,
-        terms: PlacementConfig,
-        house: FrontSettings,
-        out: &mut dyn Effects,
+        config: PlacementConfig,
+        settings: FrontSettings,
+        effects: &mut dyn Effects,
     ) -> Front {
-        Front::with_decisions(now, terms, house, out, |terms, out| {
-            Box::new(Placement::new(now, seed, terms, out))
+        Front::with_decisions(now, config, settings, effects, |config, actions| {
+            Box::new(Placement::new(now, seed, config, actions))
         })
     }
 
     /// A front with other decisions, for comparison.
     pub fn with_decisions(
         now: Ms,
-        terms: PlacementConfig,
-        house: FrontSettings,
-        out: &mut dyn Effects,
-        decisions: impl FnOnce(PlacementConfig, &mut dyn PlacementActions) -> Box<dyn Decisions>,
+        config: PlacementConfig,
+        settings: FrontSettings,
+        effects: &mut dyn Effects,
+        create: impl FnOnce(PlacementConfig, &mut dyn PlacementActions) -> Box<dyn Decisions>,
     ) -> Front {
-        let mut desk = Desk::new(now, &terms, house);
-        let placement = decisions(terms, &mut Hand { desk: &mut desk, out });
-        Front { placement, desk }
-    }
-
-    /// Carries out all that is due; see [`Front::next_timer`].
-    pub fn run_due_timers(&mut self, now: Ms, out: &mut dyn Effects) {
-        self.at(now);
-        while let Some(alarm) = self.desk.timers.due(now) {
-            match alarm {
-                Alarm::Bell(tag, _) => {
-                    let Front { placement, desk } = self;
-                    placement.timer_fired(now, TimerTag(tag), &mut Hand { desk, out });
+        let mut state = FrontState::new(now, &config, settings);
+        let decisions = create(config, &mut ActionHandler { state: &mut state, effects });
+        Front { decisions, state }
+    }
+
+    /// Runs all timers that are due; see [`Front::next_timer`].
+    pub fn run_due_timers(&mut self, now: Ms, effects: &mut dyn Effects) {
+        self.advance(now);
+        while let Some(timer) = self.state.timers.pop_due(now) {
+            match timer {
+                TimerKey::Decision(tag, _) => {
+                    let Front { decisions, state } = self;
+                    decisions.timer_fired(now, TimerTag(tag), &mut ActionHandler { state, effects });
                 }
-                Alarm::TuneIn(vw) => {
-                    let Some(seat) = self.desk.seats.get_mut(&vw).filter(|it| it.place == Place::Out) else {
-                        continue;
-                    };
-                    seat.late = true;
-                    let (no, server, address) =
-                        (seat.tune_ins - 1, seat.server.clone(), seat.address.clone());
-                    let cause = "no answer in time";
-                    info!(viewing = %vw, server = %server, no, cause, "tune-in called off");
-                    out.cancel_set_up(&vw, no, &server, &address);
-                    self.tune_in_failed(&vw, Outcome::NoAnswer, Load::default(), out);
+                TimerKey::TuneIn(id) => self.tune_in_timed_out(&id, effects),
+                TimerKey::Reload(id) => self.end_watch(&id, "no reload", Outcome::CalledOff, effects),
+                TimerKey::PlayedOut(id) => {
+                    self.end_watch(&id, "played to its end", Outcome::Served, effects);
                 }
-                Alarm::Silent(id) => self.over(&id, "no reload", Outcome::CalledOff, out),
-                Alarm::Over(id) => self.over(&id, "played to its end", Outcome::Served, out),
-                Alarm::Linger(vw) => self.end_confirmed(now, &vw, out),
-                Alarm::Probe(server) => self.probe_ended(now, &server, None, out),
+                TimerKey::EndConfirmation(id) => self.end_confirmed(now, &id, effects),
+                TimerKey::Probe(server) => self.probe_ended(now, &server, None, effects),
             }
         }
     }
 
-    /// From now on nothing new is taken.
+    fn tune_in_timed_out(&mut self, id: &ViewingId, effects: &mut dyn Effects) {
+        let tuning_in = |phase| phase == ViewingPhase::TuningIn;
+        let Some(viewing) = self.state.viewings.get_mut(id).filter(|viewing| tuning_in(viewing.phase)) else {
+            return;
+        };
+        viewing.timed_out = true;
+        let (tune_in, server) = (viewing.tune_ins - 1, viewing.server.clone());
+        let (address, cause) = (viewing.address.clone(), "no answer in time");
+        info!(viewing = %id, server = %server, no = tune_in, cause, "tune-in cancelled");
+        effects.cancel_set_up(id, tune_in, &server, &address);
+        self.tune_in_failed(id, Outcome::NoAnswer, Load::default(), effects);
+    }
+
+    /// From now on no request is accepted.
     pub fn drain(&mut self, now: Ms) {
-        self.at(now).draining = true;
-        info!(waiting = self.desk.asks.len(), watches = self.desk.watches.len(), "draining");
+        self.advance(now).draining = true;
+        info!(waiting = self.state.requests.len(), watches = self.state.watches.len(), "draining");
     }
 
     pub fn is_draining(&self) -> bool {
-        self.desk.draining
+        self.state.draining
     }
 
-    /// It is not to go after all: viewings are taken again.
+    /// Ends a drain: requests are accepted again.
     pub fn resume(&mut self, now: Ms) {
-        self.at(now).draining = false;
-        info!("takes viewings again");
+        self.advance(now).draining = false;
+        info!("drain ended, accepting requests again");
     }
 
-    /// Whether viewings are taken with all that is needed for it: titles and servers are told, and the first
-    /// doubts of servers have ended.
+    /// Whether requests are accepted and can be served: titles and servers are known, and the list includes
+    /// the starts of all servers.
     pub fn is_ready(&self, now: Ms) -> bool {
-        let Desk { draining, titles, roster, doubts_until, .. } = &self.desk;
-        !draining && titles.is_some() && !roster.is_empty() && now >= *doubts_until
+        let FrontState { draining, titles, server_list, starts_unknown_until, .. } = &self.state;
+        !draining && titles.is_some() && !server_list.is_empty() && now >= *starts_unknown_until
     }
 
-    /// This manager's part of what all managers share; with a lease that has run out already, what is kept.
-    pub fn set_slot_share(&mut self, now: Ms, part: SlotShare) {
-        let slots: Vec<u64> = [part.own_slot].into_iter().chain(part.leased_slots.iter().copied()).collect();
-        self.placement.set_slots(now, &slots, part.total_slots);
-        self.desk.part = Some(part);
-        self.at(now);
+    /// Sets this manager's share of the common limits. If its lease has expired already, only the manager's
+    /// own slot counts.
+    pub fn set_slot_share(&mut self, now: Ms, share: SlotShare) {
+        let own_slot = [share.own_slot].into_iter();
+        let slots: Vec<u64> = own_slot.chain(share.leased_slots.iter().copied()).collect();
+        self.decisions.set_slots(now, &slots, share.total_slots);
+        self.state.slot_share = Some(share);
+        self.advance(now);
     }
 
-    /// What of the settings may change while it runs.
-    pub fn update_settings(&mut self, house: FrontSettings) {
-        self.desk.house = house;
+    /// Replaces the settings while the front runs.
+    pub fn update_settings(&mut self, settings: FrontSettings) {
+        self.state.settings = settings;
     }
 
-    /// When [`Front::run_due_timers`] is to be called next.
+    /// When [`Front::run_due_timers`] has to be called next.
     pub fn next_timer(&self) -> Option<Ms> {
-        self.desk.timers.next()
+        self.state.timers.next()
     }
 
-    /// Requests that wait for their answer.
+    /// Number of requests that wait for their answer.
     pub fn waiting_requests(&self) -> usize {
-        self.desk.asks.len()
+        self.state.requests.len()
     }
 
     pub fn watch_count(&self) -> usize {
-        self.desk.watches.len()
+        self.state.watches.len()
     }
 
     pub fn viewing_count(&self) -> usize {
-        self.desk.seats.len()
+        self.state.viewings.len()
     }
 
-    /// True while anything is owed or held for a viewing.
-    pub fn holds_viewing(&self, vw: &ViewingId) -> bool {
-        self.desk.seats.contains_key(vw)
+    /// Whether the viewing exists and has not completely ended.
+    pub fn holds_viewing(&self, id: &ViewingId) -> bool {
+        self.state.viewings.contains_key(id)
     }
 
     pub fn server_count(&self) -> usize {
-        self.desk.roster.len()
+        self.state.server_list.len()
     }
 
     pub fn counts(&self) -> Counts {
-        self.desk.counts
-    }
-
-    fn at(&mut self, now: Ms) -> &mut Desk {
-        self.desk.now = now;
-        // Guards against a part that another holds by now: after a standstill, the first thing that happens
-        // may come before any timer.
-        if self.desk.part.as_ref().is_some_and(|it| now >= Ms(it.lease_end_ms)) {
-            if let Some(it) = self.desk.part.take() {
-                info!(
-                    kept = it.own_slot,
-                    of = it.total_slots,
-                    "the lease on this manager's part has run out"
-                );
-                self.placement.set_slots(now, &[it.own_slot], it.total_slots);
+        self.state.counts
+    }
+
+    /// Sets the time, and gives up the leased slots if the lease has expired. Every input does this first:
+    /// after a pause of the process it may arrive before any timer, when another manager already holds the
+    /// slots.
+    fn advance(&mut self, now: Ms) -> &mut FrontState {
+        self.state.now = now;
+        if self.state.slot_share.as_ref().is_some_and(|share| now >= Ms(share.lease_end_ms)) {
+            if let Some(share) = self.state.slot_share.take() {
+                let SlotShare { own_slot, total_slots, .. } = share;
+                info!(kept = own_slot, of = total_slots, "the lease on this manager's slots expired");
+                self.decisions.set_slots(now, &[own_slot], total_slots);
             }
         }
-        &mut self.desk
+        &mut self.state
     }
 }
--- a/front/src/front/lists.rs
+++ b/front/src/front/lists.rs
@@ -1,6 +1,6 @@
-//! Lists of servers and of titles, as the catalogue tells them.
+//! Lists of servers and of titles from the catalogue.
 
-use super::hand::Hand;
+use super::actions::ActionHandler;
 use super::Front;
 use crate::effects::Effects;
 use ottersail::ids::Cell;
@@ -10,50 +10,51 @@
 use tracing::info;
 
 impl Front {
-    /// A whole list of servers came.
-    pub fn servers_listed(&mut self, now: Ms, index: u64, list: &[Listed], out: &mut dyn Effects) {
-        let desk = self.at(now);
-        for it in list {
-            desk.addresses.insert(it.id.as_str().into(), it.address.clone());
+    /// A complete list of servers arrived.
+    pub fn servers_listed(&mut self, now: Ms, index: u64, list: &[Listed], effects: &mut dyn Effects) {
+        let state = self.advance(now);
+        for listed in list {
+            state.addresses.insert(listed.id.as_str().into(), listed.address.clone());
         }
-        let entries = list.iter().map(|it| ServerEntry {
-            kind: it.kind.as_str().into(),
-            cell: Cell(it.cell),
-            availability: match it.standing {
+        let entries = list.iter().map(|listed| ServerEntry {
+            kind: listed.kind.as_str().into(),
+            cell: Cell(listed.cell),
+            availability: match listed.standing {
                 Standing::Up => Availability::Up,
                 Standing::Draining => Availability::Leaving,
             },
-            server: it.id.as_str().into(),
-            started: it.started_ms.map(Ms),
-            weight: it.weight,
-            zone: it.zone.as_str().into(),
+            server: listed.id.as_str().into(),
+            started: listed.started_ms.map(Ms),
+            weight: listed.weight,
+            zone: listed.zone.as_str().into(),
         });
-        let changed = desk.roster.take(now, index, entries.collect());
+        let changed = state.server_list.update(now, index, entries.collect());
         #[cfg(feature = "sabotage")]
         let changed: Vec<ServerEntry> =
-            changed.into_iter().filter(|it| it.availability == Availability::Up).collect();
-        for it in &changed {
-            info!(server = %it.server, availability = ?it.availability, index, "list");
-            if it.availability == Availability::Gone && !desk.there.contains_key(&it.server) {
-                desk.addresses.remove(&it.server);
+            changed.into_iter().filter(|entry| entry.availability == Availability::Up).collect();
+        for entry in &changed {
+            info!(server = %entry.server, availability = ?entry.availability, index, "server list changed");
+            if entry.availability == Availability::Gone && !state.viewings_at.contains_key(&entry.server) {
+                state.addresses.remove(&entry.server);
             }
         }
         if !changed.is_empty() {
-            let Front { placement, desk } = self;
-            placement.update_servers(now, ListMode::Incremental, &changed, &mut Hand { desk, out });
+            let Front { decisions, state } = self;
+            let mut handler = ActionHandler { state, effects };
+            decisions.update_servers(now, ListMode::Incremental, &changed, &mut handler);
         }
     }
 
-    /// The list could not be had; the last one holds.
-    pub fn list_failed(&mut self, now: Ms, out: &mut dyn Effects) {
-        self.at(now);
-        let Front { placement, desk } = self;
-        placement.update_servers(now, ListMode::Failed, &[], &mut Hand { desk, out });
+    /// The list could not be read; the last one remains valid.
+    pub fn list_failed(&mut self, now: Ms, effects: &mut dyn Effects) {
+        self.advance(now);
+        let Front { decisions, state } = self;
+        decisions.update_servers(now, ListMode::Failed, &[], &mut ActionHandler { state, effects });
     }
 
-    /// The titles that can be asked for, all of them.
+    /// The complete list of titles arrived.
     pub fn titles_listed(&mut self, now: Ms, titles: &[Title]) {
-        let desk = self.at(now);
-        desk.titles = Some(titles.iter().map(|it| (it.name.clone(), it.clone())).collect());
+        let state = self.advance(now);
+        state.titles = Some(titles.iter().map(|title| (title.name.clone(), title.clone())).collect());
     }
 }
--- a/front/src/front/notes.rs
+++ b/front/src/front/notes.rs
@@ -1,8 +1,8 @@
-//! What servers tell of themselves, unasked or probed.
+//! Notes of servers, and answers to probes.
 
-use super::hand::Hand;
-use super::owed::{Alarm, Place};
+use super::actions::ActionHandler;
 use super::tune_ins::load;
+use super::viewing::{TimerKey, ViewingPhase};
 use super::Front;
 use crate::effects::Effects;
 use ottersail::ids::{ServerId, ViewingId};
@@ -13,60 +13,77 @@
 use tracing::info;
 
 impl Front {
-    /// A server tells of itself.
-    pub fn note_received(&mut self, now: Ms, server: &ServerId, note: &Note, out: &mut dyn Effects) {
-        self.at(now);
+    /// A server sent a note.
+    pub fn note_received(&mut self, now: Ms, server: &ServerId, note: &Note, effects: &mut dyn Effects) {
+        self.advance(now);
         match note {
             Note::Alive => {}
             Note::Load(report) => {
-                let topics = [
+                let values = [
                     (Topic::ShareDelivered, report.delivered),
                     (Topic::LinkAsked, report.link),
                     (Topic::UplinkAsked, report.uplink),
                 ];
-                for (topic, value) in topics {
-                    self.tell_load(server, topic, value, out);
+                for (topic, value) in values {
+                    self.forward_load(server, topic, value, effects);
                 }
             }
             Note::Ended { viewing, .. } => {
-                let vw = ViewingId::from(viewing.as_str());
-                let Some(seat) = self.desk.seats.get(&vw).filter(|it| it.server == *server) else {
+                let id = ViewingId::from(viewing.as_str());
+                let viewing = self.state.viewings.get(&id);
+                let Some(viewing) = viewing.filter(|viewing| viewing.server == *server) else {
                     return;
                 };
-                let id = seat.watch.clone();
-                match seat.place {
-                    Place::Ending(outcome) => self.viewing_ended(&vw, outcome, out),
-                    Place::Playing => {
-                        info!(viewing = %vw, server = %server, cause = "ended by its server", "ended");
-                        self.break_watch(&id);
-                        self.viewing_ended(&vw, Outcome::CalledOff, out);
+                let watch_id = viewing.watch.clone();
+                match viewing.phase {
+                    ViewingPhase::Ending(outcome) => self.viewing_ended(&id, outcome, effects),
+                    ViewingPhase::Playing => {
+                        info!(viewing = %id, server = %server, cause = "ended by its server", "ended");
+                        self.interrupt_watch(&watch_id);
+                        self.viewing_ended(&id, Outcome::CalledOff, effects);
                     }
-                    Place::Waiting | Place::Out => {}
+                    ViewingPhase::Waiting | ViewingPhase::TuningIn => {}
                 }
             }
         }
     }
 
-    /// A probe was answered, or failed. What comes after it was given up is not told.
-    pub fn probe_ended(&mut self, now: Ms, server: &ServerId, report: Option<Report>, out: &mut dyn Effects) {
-        self.at(now);
-        if !self.desk.probes.remove(server) {
+    /// A probe was answered or failed. Anything that arrives after its time-out is ignored.
+    pub fn probe_ended(
+        &mut self,
+        now: Ms,
+        server: &ServerId,
+        report: Option<Report>,
+        effects: &mut dyn Effects,
+    ) {
+        self.advance(now);
+        if !self.state.probes.remove(server) {
             return;
         }
-        self.desk.timers.cancel(&Alarm::Probe(server.clone()));
+        self.state.timers.cancel(&TimerKey::Probe(server.clone()));
         let outcome = if report.is_some() { Outcome::Served } else { Outcome::NoAnswer };
-        let Front { placement, desk } = self;
+        let Front { decisions, state } = self;
         let load = report.map(load).unwrap_or_default();
-        placement.probe_ended(now, server, outcome, load, &mut Hand { desk, out });
+        decisions.probe_ended(now, server, outcome, load, &mut ActionHandler { state, effects });
     }
 
-    /// A note is told on one viewing that plays there, as a rule the oldest.
-    fn tell_load(&mut self, server: &ServerId, topic: Topic, value: Option<f64>, out: &mut dyn Effects) {
-        let Front { placement, desk } = self;
-        let playing = |it: &&ViewingId| desk.seats.get(*it).is_some_and(|it| it.place == Place::Playing);
-        let vw = desk.there.get(server).and_then(|it| it.iter().find(playing)).cloned();
-        if let (Some(vw), Some(value)) = (vw, value) {
-            placement.note_received(desk.now, &vw, topic, value, server, &mut Hand { desk, out });
+    /// Passes a value to the decisions as a note about one viewing that plays at the server, as a rule the
+    /// oldest.
+    fn forward_load(
+        &mut self,
+        server: &ServerId,
+        topic: Topic,
+        value: Option<f64>,
+        effects: &mut dyn Effects,
+    ) {
+        let Front { decisions, state } = self;
+        let plays = |id: &&ViewingId| {
+            state.viewings.get(*id).is_some_and(|viewing| viewing.phase == ViewingPhase::Playing)
+        };
+        let id = state.viewings_at.get(server).and_then(|ids| ids.iter().find(plays)).cloned();
+        if let (Some(id), Some(value)) = (id, value) {
+            let now = state.now;
+            decisions.note_received(now, &id, topic, value, server, &mut ActionHandler { state, effects });
         }
     }
 }
--- a/front/src/front/requests.rs
+++ b/front/src/front/requests.rs
@@ -1,8 +1,8 @@
-//! Requests of players: what is taken, what is turned away untaken, and who left.
+//! Requests of players: which are accepted, which are rejected, and which are closed before the answer.
 
-use super::desk::Desk;
-use super::hand::Hand;
-use super::owed::{Alarm, Place, Seat};
+use super::actions::ActionHandler;
+use super::state::FrontState;
+use super::viewing::{TimerKey, ViewingPhase, ViewingState};
 use super::Front;
 use crate::effects::{Effects, Reply, RequestId, TitleRequest, WatchId};
 use crate::presence;
@@ -13,182 +13,178 @@
 use ottersail_wire::catalogue::Title;
 use tracing::{debug, info};
 
-/// Requests that may wait for the answer to one viewing: a player that reloads while it waits.
-const MOST_PENDING: usize = 4;
-/// Patience may be told from here to there, in milliseconds.
-const PATIENCE: std::ops::RangeInclusive<f64> = 50.0..=120_000.0;
+/// Limit on the requests that wait for one viewing; a player may reload while it waits.
+const MAX_PENDING_PER_WATCH: usize = 4;
+/// Permitted patience in milliseconds.
+const PATIENCE_MS: std::ops::RangeInclusive<f64> = 50.0..=120_000.0;
 
 impl Front {
-    /// A player asks for a title. It is taken, or answered at once.
-    pub fn request_title(&mut self, now: Ms, ask: RequestId, asked: TitleRequest, out: &mut dyn Effects) {
-        let desk = self.at(now);
-        if desk.full() {
-            desk.counts.turned_away_untaken += 1;
-            let stay_away = desk.stay_away.map(|it| it.0);
-            info!(ask = ask.0, cause = desk.why_full(), "turned away untaken");
-            return out.reply(ask, Reply::Blocked { stay_away });
+    /// A player requests a title. The request is accepted, or answered at once.
+    pub fn request_title(
+        &mut self,
+        now: Ms,
+        request: RequestId,
+        title_request: TitleRequest,
+        effects: &mut dyn Effects,
+    ) {
+        let state = self.advance(now);
+        if state.is_full() {
+            state.counts.turned_away_untaken += 1;
+            let stay_away = state.max_stay_away.map(|span| span.0);
+            info!(ask = request.0, cause = state.full_cause(), "request rejected");
+            return effects.reply(request, Reply::Blocked { stay_away });
         }
-        if desk.title(&asked.title).is_none() {
-            return out.reply(ask, Reply::Unknown(format!("no title {:?}", asked.title)));
+        if state.title(&title_request.title).is_none() {
+            return effects.reply(request, Reply::Unknown(format!("no title {:?}", title_request.title)));
         }
-        let Some(package) = self.placement.package_named(&asked.package) else {
-            return out.reply(ask, Reply::Unfit(format!("no package {:?}", asked.package)));
+        let Some(package) = self.decisions.package_named(&title_request.package) else {
+            return effects.reply(request, Reply::Unfit(format!("no package {:?}", title_request.package)));
         };
-        let tenant = asked.tenant.as_deref().and_then(|it| self.placement.tenant_named(it));
-        if asked.tenant.is_some() && tenant.is_none() {
-            return out.reply(ask, Reply::Unfit("no such tenant".into()));
+        let tenant = title_request.tenant.as_deref().and_then(|name| self.decisions.tenant_named(name));
+        if title_request.tenant.is_some() && tenant.is_none() {
+            return effects.reply(request, Reply::Unfit("no such tenant".into()));
         }
-        if !PATIENCE.contains(&asked.patience_ms) {
-            let text = format!("patience-ms must be from {} to {}", PATIENCE.start(), PATIENCE.end());
-            return out.reply(ask, Reply::Unfit(text));
+        if !PATIENCE_MS.contains(&title_request.patience_ms) {
+            let text = format!("patience-ms must be from {} to {}", PATIENCE_MS.start(), PATIENCE_MS.end());
+            return effects.reply(request, Reply::Unfit(text));
         }
-        let desk = &mut self.desk;
-        desk.counts.asked += 1;
-        let id = WatchId(format!("{}-{}", desk.prefix, desk.counts.asked));
-        desk.watches.insert(
-            id.clone(),
-            Watch {
-                asked,
-                package,
-                tenant,
-                viewings: 0,
-                stage: Stage::Broken,
-                edition: Default::default(),
-                began: now,
-                next: 0,
-                seam: false,
-                reloaded: false,
-            },
-        );
-        self.take(id, ask, out);
+        let state = &mut self.state;
+        state.counts.asked += 1;
+        let id = WatchId(format!("{}-{}", state.watch_prefix, state.counts.asked));
+        state.watches.insert(id.clone(), Watch::new(now, title_request, package, tenant));
+        self.start_viewing(id, request, effects);
     }
 
-    /// A player reloads the playlist of its watch; `unread` is the number in the media sequence it wants
+    /// A player reloads the playlist of its watch. `next_sequence` is the media sequence number that it wants
     /// next.
     pub fn request_playlist(
         &mut self,
         now: Ms,
-        ask: RequestId,
+        request: RequestId,
         id: &WatchId,
-        unread: Option<u64>,
-        out: &mut dyn Effects,
+        next_sequence: Option<u64>,
+        effects: &mut dyn Effects,
     ) {
-        let desk = self.at(now);
-        let full = desk.full();
-        let Some(watch) = desk.watches.get_mut(id) else {
-            return out.reply(ask, Reply::Unknown(format!("no watch {id}")));
+        let state = self.advance(now);
+        let full = state.is_full();
+        let Some(watch) = state.watches.get_mut(id) else {
+            return effects.reply(request, Reply::Unknown(format!("no watch {id}")));
         };
-        watch.reloaded = true;
         match &mut watch.stage {
             Stage::Playing(_) => {
-                let text = desk.publish(id);
-                out.reply(ask, Reply::Playlist(text));
+                let text = state.publish(id);
+                effects.reply(request, Reply::Playlist(text));
+            }
+            Stage::Waiting { requests, .. } if requests.len() < MAX_PENDING_PER_WATCH => {
+                requests.push(request);
+                state.requests.insert(request, id.clone());
             }
-            Stage::Waiting { asks, .. } if asks.len() < MOST_PENDING => {
-                asks.push(ask);
-                desk.asks.insert(ask, id.clone());
+            Stage::Waiting { .. } => {
+                effects.reply(request, Reply::Unfit("too many requests for one watch".into()));
             }
-            Stage::Waiting { .. } => out.reply(ask, Reply::Unfit("too many requests for one watch".into())),
-            Stage::Broken if full => {
-                desk.counts.turned_away_untaken += 1;
-                let stay_away = desk.stay_away.map(|it| it.0);
-                out.reply(ask, Reply::Blocked { stay_away });
+            Stage::Interrupted if full => {
+                state.counts.turned_away_untaken += 1;
+                let stay_away = state.max_stay_away.map(|span| span.0);
+                effects.reply(request, Reply::Blocked { stay_away });
             }
-            Stage::Broken => {
-                watch.resume(unread);
-                desk.counts.again += 1;
-                self.take(id.clone(), ask, out);
+            Stage::Interrupted => {
+                watch.resume(next_sequence);
+                state.counts.again += 1;
+                self.start_viewing(id.clone(), request, effects);
             }
         }
     }
 
     /// A player closed its connection before the answer.
-    pub fn request_closed(&mut self, now: Ms, ask: RequestId, out: &mut dyn Effects) {
-        let desk = self.at(now);
-        let Some(id) = desk.asks.remove(&ask) else {
+    pub fn request_closed(&mut self, now: Ms, request: RequestId, effects: &mut dyn Effects) {
+        let state = self.advance(now);
+        let Some(id) = state.requests.remove(&request) else {
             return;
         };
-        let Some(watch) = desk.watches.get_mut(&id) else {
+        let Some(watch) = state.watches.get_mut(&id) else {
             return;
         };
-        let Stage::Waiting { vw, asks } = &mut watch.stage else {
+        let Stage::Waiting { viewing, requests } = &mut watch.stage else {
             return;
         };
-        asks.retain(|it| *it != ask);
-        if !asks.is_empty() {
+        requests.retain(|waiting| *waiting != request);
+        if !requests.is_empty() {
             return;
         }
-        let vw = vw.clone();
-        desk.counts.left += 1;
-        info!(viewing = %vw, cause = "viewer left before the answer", "ended");
-        watch.stage = Stage::Broken;
+        let viewing = viewing.clone();
+        state.counts.left += 1;
+        info!(viewing = %viewing, cause = "viewer left before the answer", "ended");
+        watch.stage = Stage::Interrupted;
         if watch.viewings == 1 {
-            desk.forget(&id);
+            state.remove_watch(&id);
         } else {
-            let until = presence::silent_until(now, watch.target(), false);
-            desk.timers.set(Alarm::Silent(id), until);
+            let until = presence::reload_deadline(now, watch.target(), false);
+            state.timers.set(TimerKey::Reload(id), until);
         }
-        self.viewer_gone(&vw, out);
+        self.cancel_viewing(&viewing, effects);
     }
 
-    /// A viewing begins: it is owed one answer, before patience ends.
-    fn take(&mut self, id: WatchId, ask: RequestId, out: &mut dyn Effects) {
-        let Front { placement, desk } = self;
-        let now = desk.now;
-        let Some(watch) = desk.watches.get_mut(&id) else {
+    /// Starts a viewing of the watch. The request will get one answer before the patience ends.
+    fn start_viewing(&mut self, id: WatchId, request: RequestId, effects: &mut dyn Effects) {
+        let Front { decisions, state } = self;
+        let now = state.now;
+        let Some(watch) = state.watches.get_mut(&id) else {
             return;
         };
         watch.viewings += 1;
-        let vw = ViewingId::from(format!("{id}.{}", watch.viewings).as_str());
-        watch.stage = Stage::Waiting { vw: vw.clone(), asks: vec![ask] };
-        let Some(title) = desk.titles.as_ref().and_then(|it| it.get(&watch.asked.title)) else {
-            // The title was taken from the list since.
-            desk.forget(&id);
-            return out.reply(ask, Reply::Unknown("the title is gone".into()));
+        let viewing = ViewingId::from(format!("{id}.{}", watch.viewings).as_str());
+        watch.stage = Stage::Waiting { viewing: viewing.clone(), requests: vec![request] };
+        let Some(title) = state.titles.as_ref().and_then(|titles| titles.get(&watch.request.title)) else {
+            // The title was removed from the list while the viewer watched it.
+            state.remove_watch(&id);
+            return effects.reply(request, Reply::Unknown("the title is gone".into()));
         };
-        let wish = ViewingRequest {
-            viewing: vw.clone(),
+        let viewing_request = ViewingRequest {
+            viewing: viewing.clone(),
             package: watch.package,
             tenant: watch.tenant,
             title: title.name.as_str().into(),
             first_cell: title.base,
             cell_count: title.copies,
-            max_rung: Rung(watch.asked.max_rung.min(desk.ladder_kb.len().saturating_sub(1))),
-            deadline: presence::due(now, Ms(watch.asked.patience_ms)),
+            max_rung: Rung(watch.request.max_rung.min(state.ladder_kb.len().saturating_sub(1))),
+            deadline: presence::answer_deadline(now, Ms(watch.request.patience_ms)),
             expected_duration: None,
         };
-        debug!(viewing = %vw, title = %title.name, package = %watch.asked.package, "taken");
-        desk.timers.cancel(&Alarm::Silent(id.clone()));
-        desk.timers.cancel(&Alarm::Over(id.clone()));
-        desk.asks.insert(ask, id.clone());
-        let rung = desk.floors[watch.package.0];
-        desk.seats.insert(
-            vw,
-            Seat {
+        let package = &watch.request.package;
+        debug!(viewing = %viewing, title = %title.name, package = %package, "request accepted");
+        state.timers.cancel(&TimerKey::Reload(id.clone()));
+        state.timers.cancel(&TimerKey::PlayedOut(id.clone()));
+        state.requests.insert(request, id.clone());
+        let rung = state.floors[watch.package.0];
+        state.viewings.insert(
+            viewing,
+            ViewingState {
                 watch: id,
-                place: Place::Waiting,
+                phase: ViewingPhase::Waiting,
                 tune_ins: 0,
                 server: "".into(),
                 address: String::new(),
                 rung,
-                changing: None,
-                then: None,
-                late: false,
+                requested_rung: None,
+                next_rung: None,
+                timed_out: false,
             },
         );
-        placement.request_viewing(now, wish, &mut Hand { desk, out });
+        decisions.request_viewing(now, viewing_request, &mut ActionHandler { state, effects });
     }
 }
 
-impl Desk {
-    fn full(&self) -> bool {
+impl FrontState {
+    /// Whether new requests are rejected.
+    fn is_full(&self) -> bool {
         self.draining
             || self.titles.is_none()
-            || self.asks.len() >= self.house.max_waiting
-            || self.watches.len() >= self.house.max_watches
+            || self.requests.len() >= self.settings.max_waiting
+            || self.watches.len() >= self.settings.max_watches
     }
 
-    fn why_full(&self) -> &'static str {
+    /// Why requests are rejected, for the log.
+    fn full_cause(&self) -> &'static str {
         match () {
             () if self.draining => "draining",
             () if self.titles.is_none() => "no titles yet",
--- a/front/src/front/steps.rs
+++ b/front/src/front/steps.rs
@@ -1,8 +1,8 @@
-//! Steps from one rung to another, of what plays.
+//! Changes of the rung of playing viewings.
 
-use super::desk::Desk;
-use super::hand::Hand;
-use super::owed::Place;
+use super::actions::ActionHandler;
+use super::state::FrontState;
+use super::viewing::ViewingPhase;
 use super::Front;
 use crate::effects::Effects;
 use ottersail::ids::{Rung, ViewingId};
@@ -11,79 +11,86 @@
 use tracing::{info, warn};
 
 impl Front {
-    /// A change of rung was answered, by that rung's playlist, or failed.
+    /// A server answered a change of rung with the playlist at that rung, or the change failed (`None`).
     pub fn rung_changed(
         &mut self,
         now: Ms,
-        vw: &ViewingId,
+        id: &ViewingId,
         rung: usize,
         playlist: Option<&str>,
-        out: &mut dyn Effects,
+        effects: &mut dyn Effects,
     ) {
-        let desk = self.at(now);
-        let Some(seat) = desk.seats.get_mut(vw).filter(|it| it.changing == Some(Rung(rung))) else {
+        let state = self.advance(now);
+        let viewing = state.viewings.get_mut(id);
+        let Some(viewing) = viewing.filter(|viewing| viewing.requested_rung == Some(Rung(rung))) else {
             return;
         };
-        seat.changing = None;
-        let (then, server, address) = (seat.then.take(), seat.server.clone(), seat.address.clone());
-        if seat.place != Place::Playing {
+        viewing.requested_rung = None;
+        let next_rung = viewing.next_rung.take();
+        let (server, address) = (viewing.server.clone(), viewing.address.clone());
+        if viewing.phase != ViewingPhase::Playing {
             return;
         }
-        let id = seat.watch.clone();
-        let title = desk.watches.get(&id).map_or(String::new(), |it| it.asked.title.clone());
-        let source = playlist.map(|it| desk.source((title, rung), it.as_bytes()));
-        let in_force = match source {
+        let watch_id = viewing.watch.clone();
+        let title = state.watches.get(&watch_id).map_or(String::new(), |watch| watch.request.title.clone());
+        let source = playlist.map(|text| state.source((title, rung), text.as_bytes()));
+        let rung_in_force = match source {
             Some(Ok(source)) => {
-                let seat = desk.seats.get_mut(vw);
-                let before = seat.map_or(Rung(rung), |it| std::mem::replace(&mut it.rung, Rung(rung)));
-                if before < Rung(rung) {
-                    desk.counts.steps_up += 1;
+                let viewing = state.viewings.get_mut(id);
+                let previous =
+                    viewing.map_or(Rung(rung), |viewing| std::mem::replace(&mut viewing.rung, Rung(rung)));
+                if previous < Rung(rung) {
+                    state.counts.steps_up += 1;
                 } else {
-                    desk.counts.steps_down += 1;
+                    state.counts.steps_down += 1;
                 }
-                if let Some(watch) = desk.watches.get_mut(&id) {
-                    watch.step(Rung(rung), source);
+                if let Some(watch) = state.watches.get_mut(&watch_id) {
+                    watch.change_rung(Rung(rung), source);
                 }
                 Rung(rung)
             }
             _ => {
-                warn!(viewing = %vw, server = %server, rung, "the change of rung failed");
-                desk.seats[vw].rung
+                warn!(viewing = %id, server = %server, rung, "change of rung failed");
+                state.viewings[id].rung
             }
         };
-        match then.filter(|it| *it != in_force) {
+        match next_rung.filter(|rung| *rung != rung_in_force) {
             Some(rung) => {
-                if let Some(seat) = desk.seats.get_mut(vw) {
-                    seat.changing = Some(rung);
+                if let Some(viewing) = state.viewings.get_mut(id) {
+                    viewing.requested_rung = Some(rung);
                 }
-                out.change_rung(vw, &server, &address, rung);
+                effects.change_rung(id, &server, &address, rung);
             }
             None => {
-                let Front { placement, desk } = self;
-                let value = in_force.0 as f64;
-                placement.note_received(now, vw, Topic::RungInForce, value, &server, &mut Hand { desk, out });
+                let Front { decisions, state } = self;
+                let (topic, value) = (Topic::RungInForce, rung_in_force.0 as f64);
+                let mut handler = ActionHandler { state, effects };
+                decisions.note_received(now, id, topic, value, &server, &mut handler);
             }
         }
     }
 }
 
-impl Desk {
-    pub(super) fn step_to(&mut self, vw: &ViewingId, rung: Rung, out: &mut dyn Effects) {
-        let Some(seat) = self.seats.get_mut(vw) else {
+impl FrontState {
+    /// Sets the rung of the next tune-in, or requests it from the server of a playing viewing. While another
+    /// change is unanswered, the new one waits.
+    pub(super) fn step_to(&mut self, id: &ViewingId, rung: Rung, effects: &mut dyn Effects) {
+        let Some(viewing) = self.viewings.get_mut(id) else {
             return;
         };
-        match seat.place {
-            Place::Waiting => seat.rung = rung,
-            Place::Playing => {
-                info!(viewing = %vw, server = %seat.server, from = seat.rung.0, rung = rung.0, "step");
-                if seat.changing.is_some() {
-                    seat.then = Some(rung);
+        match viewing.phase {
+            ViewingPhase::Waiting => viewing.rung = rung,
+            ViewingPhase::Playing => {
+                let (server, from) = (&viewing.server, viewing.rung.0);
+                info!(viewing = %id, server = %server, from, rung = rung.0, "changing rung");
+                if viewing.requested_rung.is_some() {
+                    viewing.next_rung = Some(rung);
                 } else {
-                    seat.changing = Some(rung);
-                    out.change_rung(vw, &seat.server, &seat.address, rung);
+                    viewing.requested_rung = Some(rung);
+                    effects.change_rung(id, &viewing.server, &viewing.address, rung);
                 }
             }
-            Place::Out | Place::Ending(_) => {}
+            ViewingPhase::TuningIn | ViewingPhase::Ending(_) => {}
         }
     }
 }
--- a/front/src/front/tune_ins.rs
+++ b/front/src/front/tune_ins.rs
@@ -1,8 +1,8 @@
-//! Tune-ins: each one sent, and how it ended.
+//! Tune-ins: sending set-ups, and their results.
 
-use super::desk::Desk;
-use super::hand::Hand;
-use super::owed::{Alarm, Place};
+use super::actions::ActionHandler;
+use super::state::FrontState;
+use super::viewing::{TimerKey, ViewingPhase};
 use super::Front;
 use crate::decisions::TuneInEnd;
 use crate::effects::{Effects, SetUp, SetUpEnd};
@@ -16,36 +16,34 @@
 use tracing::{debug, info, warn};
 
 impl Front {
-    /// A set-up that was sent came to its end.
+    /// A set-up ended. Results of any but the current tune-in are ignored.
     pub fn set_up_ended(
         &mut self,
         now: Ms,
-        vw: &ViewingId,
-        no: usize,
+        id: &ViewingId,
+        tune_in: usize,
         end: SetUpEnd,
         report: Report,
-        out: &mut dyn Effects,
+        effects: &mut dyn Effects,
     ) {
-        let desk = self.at(now);
-        let Some(seat) = desk.seats.get_mut(vw) else {
+        let state = self.advance(now);
+        let Some(viewing) = state.viewings.get_mut(id) else {
             return;
         };
-        if seat.place != Place::Out || seat.tune_ins != no + 1 {
+        if viewing.phase != ViewingPhase::TuningIn || viewing.tune_ins != tune_in + 1 {
             return;
         }
-        let (server, rung) = (seat.server.clone(), seat.rung);
+        let (server, rung) = (viewing.server.clone(), viewing.rung);
         let outcome = match end {
             SetUpEnd::Playing { playlist } => {
-                let key = (
-                    desk.watches.get(&seat.watch).map_or(String::new(), |it| it.asked.title.clone()),
-                    rung.0,
-                );
-                match desk.source(key, playlist.as_bytes()) {
-                    Ok(source) => return self.plays(vw, &server, source, report, out),
-                    Err(trouble) => {
-                        warn!(viewing = %vw, server = %server, cause = %trouble, "unfit playlist");
-                        let address = desk.seats[vw].address.clone();
-                        out.cancel_set_up(vw, no, &server, &address);
+                let watch = state.watches.get(&viewing.watch);
+                let title = watch.map_or(String::new(), |watch| watch.request.title.clone());
+                match state.source((title, rung.0), playlist.as_bytes()) {
+                    Ok(source) => return self.start_playing(id, &server, source, report, effects),
+                    Err(error) => {
+                        warn!(viewing = %id, server = %server, cause = %error, "invalid playlist");
+                        let address = state.viewings[id].address.clone();
+                        effects.cancel_set_up(id, tune_in, &server, &address);
                         Outcome::ServerError
                     }
                 }
@@ -56,96 +54,102 @@
             SetUpEnd::ConnectionLost => Outcome::ConnectionLost,
             SetUpEnd::NotSent => Outcome::NotSent,
         };
-        self.tune_in_failed(vw, outcome, load(report), out);
+        self.tune_in_failed(id, outcome, load(report), effects);
     }
 
-    fn plays(
+    fn start_playing(
         &mut self,
-        vw: &ViewingId,
+        id: &ViewingId,
         server: &ServerId,
         source: Rc<Source>,
         report: Report,
-        out: &mut dyn Effects,
+        effects: &mut dyn Effects,
     ) {
-        let Front { placement, desk } = self;
-        let now = desk.now;
-        desk.timers.cancel(&Alarm::TuneIn(vw.clone()));
-        let Some(seat) = desk.seats.get_mut(vw) else {
+        let Front { decisions, state } = self;
+        let now = state.now;
+        state.timers.cancel(&TimerKey::TuneIn(id.clone()));
+        let Some(viewing) = state.viewings.get_mut(id) else {
             return;
         };
-        seat.place = Place::Playing;
-        let (id, address, rung) = (seat.watch.clone(), seat.address.clone(), seat.rung);
-        info!(viewing = %vw, server = %server, rung = rung.0, tune_ins = seat.tune_ins, "plays");
-        desk.counts.played += 1;
-        let there = desk.there.entry(server.clone()).or_default();
-        if there.is_empty() {
-            out.open_notes(server, &address);
+        viewing.phase = ViewingPhase::Playing;
+        let (watch_id, address, rung) = (viewing.watch.clone(), viewing.address.clone(), viewing.rung);
+        info!(viewing = %id, server = %server, rung = rung.0, tune_ins = viewing.tune_ins, "plays");
+        state.counts.played += 1;
+        let at_server = state.viewings_at.entry(server.clone()).or_default();
+        if at_server.is_empty() {
+            effects.open_notes(server, &address);
         }
-        there.insert(vw.clone());
-        desk.play(&id, Play { vw: vw.clone(), address, rung, source }, out);
-        placement.viewing_started(now, vw, server, &mut Hand { desk, out });
+        at_server.insert(id.clone());
+        state.play(&watch_id, Play { viewing: id.clone(), address, rung, source }, effects);
+        decisions.viewing_started(now, id, server, &mut ActionHandler { state, effects });
         for (topic, value) in [(Topic::LinkAsked, report.link), (Topic::UplinkAsked, report.uplink)] {
             if let Some(value) = value {
-                self.placement.note_received(
-                    now,
-                    vw,
-                    topic,
-                    value,
-                    server,
-                    &mut Hand { desk: &mut self.desk, out },
-                );
+                let mut handler = ActionHandler { state, effects };
+                decisions.note_received(now, id, topic, value, server, &mut handler);
             }
         }
     }
 
+    /// Ends a tune-in that did not succeed; the viewing waits for another, or for its final answer.
     pub(super) fn tune_in_failed(
         &mut self,
-        vw: &ViewingId,
+        id: &ViewingId,
         outcome: Outcome,
         load: Load,
-        out: &mut dyn Effects,
+        effects: &mut dyn Effects,
     ) {
-        let Front { placement, desk } = self;
-        let now = desk.now;
-        desk.timers.cancel(&Alarm::TuneIn(vw.clone()));
-        let Some(seat) = desk.seats.get_mut(vw) else {
+        let Front { decisions, state } = self;
+        let now = state.now;
+        state.timers.cancel(&TimerKey::TuneIn(id.clone()));
+        let Some(viewing) = state.viewings.get_mut(id) else {
             return;
         };
-        seat.place = Place::Waiting;
-        let (no, server) = (seat.tune_ins - 1, seat.server.clone());
-        debug!(viewing = %vw, server = %server, no, ?outcome, "tune-in failed");
-        let ended = TuneInEnd { tune_in: TuneInIndex(no), server, outcome, last: false };
-        placement.tune_in_ended(now, vw, ended, load, &mut Hand { desk, out });
+        viewing.phase = ViewingPhase::Waiting;
+        let (tune_in, server) = (viewing.tune_ins - 1, viewing.server.clone());
+        debug!(viewing = %id, server = %server, no = tune_in, ?outcome, "tune-in failed");
+        let end = TuneInEnd { tune_in: TuneInIndex(tune_in), server, outcome, last: false };
+        decisions.tune_in_ended(now, id, end, load, &mut ActionHandler { state, effects });
     }
 }
 
-impl Desk {
-    pub(super) fn relay(&mut self, vw: &ViewingId, server: &ServerId, time_out: Ms, out: &mut dyn Effects) {
-        let Some(seat) = self.seats.get_mut(vw) else {
+impl FrontState {
+    /// Sends a set-up and starts its time-out.
+    pub(super) fn send_set_up(
+        &mut self,
+        id: &ViewingId,
+        server: &ServerId,
+        time_out: Ms,
+        effects: &mut dyn Effects,
+    ) {
+        let Some(viewing) = self.viewings.get_mut(id) else {
             return;
         };
-        let Some(watch) = self.watches.get(&seat.watch) else {
+        let Some(watch) = self.watches.get(&viewing.watch) else {
             return;
         };
-        let (address, no) = (self.addresses.get(server).cloned().unwrap_or_default(), seat.tune_ins);
-        (seat.place, seat.tune_ins, seat.server) = (Place::Out, no + 1, server.clone());
-        seat.address = address.clone();
+        let (address, tune_in) = (self.addresses.get(server).cloned().unwrap_or_default(), viewing.tune_ins);
+        (viewing.phase, viewing.tune_ins) = (ViewingPhase::TuningIn, tune_in + 1);
+        (viewing.server, viewing.address) = (server.clone(), address.clone());
+        let rung = viewing.rung;
         self.counts.tune_ins += 1;
-        self.timers.set(Alarm::TuneIn(vw.clone()), self.now + time_out);
-        info!(viewing = %vw, server = %server, rung = seat.rung.0, no, time_out = time_out.0, "tune-in");
-        // Guards against a set-up that rests on a lease and leaves after it, when another holds that part.
-        let by = self.now + time_out.min(self.house.max_send_delay);
-        let send_by = self.part.iter().fold(by, |by, it| by.min(Ms(it.lease_end_ms)));
-        out.set_up(&SetUp {
-            viewing: vw.clone(),
-            tune_in: no,
+        self.timers.set(TimerKey::TuneIn(id.clone()), self.now + time_out);
+        let time_out_ms = time_out.0;
+        info!(viewing = %id, server = %server, rung = rung.0, no = tune_in, time_out = time_out_ms, "tune-in");
+        // A set-up that relies on a leased slot must not leave after the lease, when another manager holds
+        // the slot.
+        let latest = self.now + time_out.min(self.settings.max_send_delay);
+        let lease_end = self.slot_share.as_ref().map(|share| Ms(share.lease_end_ms));
+        let send_by = lease_end.map_or(latest, |end| latest.min(end));
+        effects.set_up(&SetUp {
+            viewing: id.clone(),
+            tune_in,
             server: server.clone(),
             address,
-            title: watch.asked.title.as_str().into(),
-            package: watch.asked.package.clone(),
-            rung: seat.rung,
+            title: watch.request.title.as_str().into(),
+            package: watch.request.package.clone(),
+            rung,
             request: match &watch.stage {
-                Stage::Waiting { asks, .. } => asks.first().copied(),
+                Stage::Waiting { requests, .. } => requests.first().copied(),
                 _ => None,
             },
             send_by,
@@ -153,6 +157,7 @@
     }
 }
 
+/// A report in the form that the decisions take.
 pub(super) fn load(report: Report) -> Load {
     Load { streams: None, link: None, link_uncapped: report.link, uplink: report.uplink }
 }
--- a/front/src/lib.rs
+++ b/front/src/lib.rs
@@ -1,9 +1,9 @@
-//! The session manager as a library. [`Front`] owns the decisions, the viewings, the list of servers as last
-//! told and the set-ups that are out. One method for each thing that happens; what it wants done goes out
-//! through [`Orders`]. The time is an argument: no sockets, threads, clocks or files in here.
+//! The session manager as a library. [`Front`] owns the decisions, the viewings, the server list and the
+//! set-ups in progress. It has one method for each input; the I/O that it requests goes out through
+//! [`Effects`]. The time is an argument: there are no sockets, threads, clocks or files here.
 //!
-//! What the front chooses that the module does not lies in files of its own: [`presence`] (when a viewer has
-//! left, how much of patience is the front's), [`roster`] (which list to believe).
+//! Two policies of the front itself have modules of their own: [`presence`] (when a viewer has left, and how
+//! much of the patience is reserved for the front) and [`server_list`] (which list to accept).
 
 pub mod baseline;
 pub mod decisions;
@@ -11,7 +11,7 @@
 mod front;
 pub mod presence;
 pub mod recording;
-pub mod roster;
+pub mod server_list;
 mod timers;
 mod watch;
 
--- a/front/src/presence.rs
+++ b/front/src/presence.rs
@@ -1,39 +1,40 @@
-//! When a viewer counts as gone, how far ahead a playlist is published, and how patience is shared with the
-//! way of the answer.
+//! When a viewer counts as gone, how far ahead a playlist is published, and which part of the patience is
+//! reserved for delivering the answer.
 
 use ottersail::time::Ms;
 
-/// This part of a viewer's patience is left for the answer's way back and for what waits before it.
-const WAY_BACK: f64 = 1.0 / 16.0;
-/// Targets' worth of segments published ahead of where the viewing is by the clock. A player keeps three (RFC
-/// 8216, 6.3.3); a step is seen that much later.
-const AHEAD: f64 = 3.0;
-/// A player reloads after a target, or half of one where nothing was new (6.3.4); after so many without, it
-/// left.
-const SILENT: f64 = 4.0;
-/// After the end has been published a player reloads no more; it is given this many targets to play it out.
-const PLAY_OUT: f64 = 2.0;
-/// Until it reloads for the first time a player may read other things first.
-const SETTLE: f64 = 2.0;
-
-/// What the module is told as the end of patience.
-pub fn due(asked: Ms, patience: Ms) -> Ms {
-    asked + patience * (1.0 - WAY_BACK)
+/// Part of the patience that is reserved for delivering the answer and for delays before that.
+const DELIVERY_SHARE: f64 = 1.0 / 16.0;
+/// Target durations of segments published ahead of the nominal playing position. A player buffers three (RFC
+/// 8216, section 6.3.3); a change of rung becomes visible that much later.
+const PUBLISH_AHEAD_TARGETS: f64 = 3.0;
+/// A player reloads after one target duration, or half of one if nothing was new (RFC 8216, section 6.3.4).
+/// After this many without a reload it counts as gone.
+const MAX_SILENT_TARGETS: f64 = 4.0;
+/// Additional target durations until the first reload, since a player may fetch other resources first.
+const FIRST_RELOAD_TARGETS: f64 = 2.0;
+/// After the end of the list a player does not reload any more; it is given this many target durations to
+/// play the rest.
+const PLAY_OUT_TARGETS: f64 = 2.0;
+
+/// The deadline that the decisions are given for an answer.
+pub fn answer_deadline(requested: Ms, patience: Ms) -> Ms {
+    requested + patience * (1.0 - DELIVERY_SHARE)
 }
 
-/// Milliseconds into the title up to which segments are published.
+/// Position in the title up to which segments are published.
 pub fn publish_to(played: Ms, target: Ms) -> Ms {
-    played + target * AHEAD
+    played + target * PUBLISH_AHEAD_TARGETS
 }
 
-/// Until when the next reload must come.
-pub fn silent_until(last: Ms, target: Ms, first: bool) -> Ms {
-    last + target * (SILENT + if first { SETTLE } else { 0.0 })
+/// Time by which the next reload must arrive.
+pub fn reload_deadline(last: Ms, target: Ms, first: bool) -> Ms {
+    last + target * (MAX_SILENT_TARGETS + if first { FIRST_RELOAD_TARGETS } else { 0.0 })
 }
 
-/// When a viewing whose playlist is closed is over, with that much left to play.
-pub fn over_at(now: Ms, left: Ms, target: Ms) -> Ms {
-    now + left + target * PLAY_OUT
+/// When a viewing with a complete playlist has been played, with that much left to play.
+pub fn played_out_at(now: Ms, left: Ms, target: Ms) -> Ms {
+    now + left + target * PLAY_OUT_TARGETS
 }
 
 #[cfg(test)]
@@ -41,15 +42,16 @@
     use super::*;
 
     #[test]
-    fn the_answers_way_is_left() {
-        assert_eq!(due(Ms(1000.0), Ms(4000.0)), Ms(4750.0));
+    fn part_of_the_patience_is_reserved_for_delivery() {
+        assert_eq!(answer_deadline(Ms(1000.0), Ms(4000.0)), Ms(4750.0));
     }
 
     #[test]
-    fn a_reload_each_target_keeps_a_viewing() {
+    fn a_reload_in_each_target_duration_is_in_time() {
         let target = Ms(2000.0);
-        assert!(silent_until(Ms(0.0), target, false) > target * 2.0);
-        assert!(silent_until(Ms(0.0), target, true) > silent_until(Ms(0.0), target, false));
+        let deadline = |first| reload_deadline(Ms(0.0), target, first);
+        assert!(deadline(false) > target * 2.0);
+        assert!(deadline(true) > deadline(false));
         assert!(publish_to(Ms(0.0), target) >= target * 3.0);
     }
 }
--- a/front/src/timers.rs
+++ b/front/src/timers.rs
@@ -1,44 +1,47 @@
-//! All times that the front waits for, in one structure: ordered by time and, for equal times, by when they
-//! were set, so that equal inputs give equal outputs. A key has one time at most.
+//! A queue of timers, ordered by time and, for equal times, by when they were set, so that equal inputs lead
+//! to equal outputs. Each key has at most one timer.
 
 use ottersail::time::Ms;
 use std::collections::BTreeMap;
 
 #[derive(Debug)]
 pub struct Timers<K> {
+    /// Keys by time and sequence number.
     queue: BTreeMap<(Ms, u64), K>,
-    at: BTreeMap<K, (Ms, u64)>,
-    count: u64,
+    positions: BTreeMap<K, (Ms, u64)>,
+    /// Sequence number of the last timer set.
+    sequence: u64,
 }
 
 impl<K: Ord + Clone> Timers<K> {
     pub fn new() -> Self {
-        Timers { queue: BTreeMap::new(), at: BTreeMap::new(), count: 0 }
+        Timers { queue: BTreeMap::new(), positions: BTreeMap::new(), sequence: 0 }
     }
 
-    /// Sets the key's time, in place of an earlier one.
+    /// Sets the key's timer, replacing an earlier one.
     pub fn set(&mut self, key: K, at: Ms) {
         self.cancel(&key);
-        self.count += 1;
-        self.queue.insert((at, self.count), key.clone());
-        self.at.insert(key, (at, self.count));
+        self.sequence += 1;
+        self.queue.insert((at, self.sequence), key.clone());
+        self.positions.insert(key, (at, self.sequence));
     }
 
     pub fn cancel(&mut self, key: &K) {
-        if let Some(slot) = self.at.remove(key) {
-            self.queue.remove(&slot);
+        if let Some(position) = self.positions.remove(key) {
+            self.queue.remove(&position);
         }
     }
 
+    /// Time of the first timer.
     pub fn next(&self) -> Option<Ms> {
-        self.queue.first_key_value().map(|it| it.0 .0)
+        self.queue.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Takes the first key whose time has come.
-    pub fn due(&mut self, now: Ms) -> Option<K> {
-        let slot = self.queue.first_entry().filter(|it| it.key().0 <= now)?;
-        let key = slot.remove();
-        self.at.remove(&key);
+    /// Removes the first timer that is due and returns its key.
+    pub fn pop_due(&mut self, now: Ms) -> Option<K> {
+        let first = self.queue.first_entry().filter(|entry| entry.key().0 <= now)?;
+        let key = first.remove();
+        self.positions.remove(&key);
         Some(key)
     }
 
@@ -55,32 +58,34 @@
     use proptest::test_runner::RngSeed;
 
     proptest! {
-        // The same cases each time; more by PROPTEST_CASES.
+        // The same cases in each run; PROPTEST_CASES sets their number.
         #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-        /// Against a plain list that is searched each time.
+        /// Compares with a list that is sorted at each step.
         #[test]
-        fn keys_come_out_in_order(steps in proptest::collection::vec((0u8..3, 0u8..6, 0u8..20), 0..80)) {
-            let (mut timers, mut plain) = (Timers::new(), Vec::<(f64, usize, u8)>::new());
-            for (no, (step, key, time)) in steps.into_iter().enumerate() {
+        fn due_keys_are_returned_in_order(
+            steps in proptest::collection::vec((0u8..3, 0u8..6, 0u8..20), 0..80)
+        ) {
+            let (mut timers, mut reference) = (Timers::new(), Vec::<(f64, usize, u8)>::new());
+            for (number, (step, key, time)) in steps.into_iter().enumerate() {
                 match step {
                     0 => {
                         timers.set(key, Ms(time.into()));
-                        plain.retain(|it| it.2 != key);
-                        plain.push((time.into(), no, key));
+                        reference.retain(|timer| timer.2 != key);
+                        reference.push((time.into(), number, key));
                     }
                     1 => {
                         timers.cancel(&key);
-                        plain.retain(|it| it.2 != key);
+                        reference.retain(|timer| timer.2 != key);
                     }
                     _ => {
-                        plain.sort_by(|a, b| a.partial_cmp(b).unwrap());
-                        let first = plain.first().filter(|it| it.0 <= f64::from(time)).copied();
-                        plain.retain(|it| Some(*it) != first);
-                        prop_assert_eq!(timers.due(Ms(time.into())), first.map(|it| it.2));
+                        reference.sort_by(|a, b| a.partial_cmp(b).unwrap());
+                        let first = reference.first().filter(|timer| timer.0 <= f64::from(time)).copied();
+                        reference.retain(|timer| Some(*timer) != first);
+                        prop_assert_eq!(timers.pop_due(Ms(time.into())), first.map(|timer| timer.2));
                     }
                 }
-                prop_assert_eq!(timers.len(), plain.len());
+                prop_assert_eq!(timers.len(), reference.len());
             }
         }
     }
--- a/front/src/watch.rs
+++ b/front/src/watch.rs
@@ -8,10 +8,14 @@
 use ottersail_signed_urls::{Claim, Keys};
 use std::rc::Rc;
 
-/// Where its present viewing plays.
+/// Target duration that is assumed while no source is known.
+const DEFAULT_TARGET: Ms = Ms(2e3);
+
+/// The present viewing of a watch while it plays.
 #[derive(Debug)]
 pub struct Play {
-    pub vw: ViewingId,
+    pub viewing: ViewingId,
+    /// Address of the server.
     pub address: String,
     pub rung: Rung,
     pub source: Rc<Source>,
@@ -19,110 +23,130 @@
 
 #[derive(Debug)]
 pub enum Stage {
-    /// A viewing was taken; these requests wait for its answer.
+    /// A viewing was accepted; these requests wait for its answer.
     Waiting {
-        vw: ViewingId,
-        asks: Vec<RequestId>,
+        viewing: ViewingId,
+        requests: Vec<RequestId>,
     },
     Playing(Play),
-    /// Its viewing broke off; the next reload is the viewer's coming again.
-    Broken,
+    /// No viewing exists; the player's next reload starts another.
+    Interrupted,
 }
 
 #[derive(Debug)]
 pub struct Watch {
-    pub asked: TitleRequest,
+    pub request: TitleRequest,
     pub package: PackageIndex,
     pub tenant: Option<TenantIndex>,
-    /// Viewings so far.
+    /// Number of viewings so far.
     pub viewings: u32,
     pub stage: Stage,
+    /// The published playlist.
     pub edition: Edition,
-    /// When the title's start would have played, had it played from there without a break.
-    pub began: Ms,
-    /// The title's number of the segment to publish next.
-    pub next: usize,
-    /// The next piece does not follow from the last.
-    pub seam: bool,
-    pub reloaded: bool,
+    /// Nominal time at which the title's start played, as if it had been played without interruption.
+    pub title_started: Ms,
+    /// Index within the title of the segment to publish next.
+    pub next_segment: usize,
+    /// Whether the next segment does not continue the previous one, because the rung or the server changed.
+    pub discontinuity: bool,
 }
 
 impl Watch {
+    /// A watch without a viewing.
+    pub fn new(now: Ms, request: TitleRequest, package: PackageIndex, tenant: Option<TenantIndex>) -> Watch {
+        Watch {
+            request,
+            package,
+            tenant,
+            viewings: 0,
+            stage: Stage::Interrupted,
+            edition: Default::default(),
+            title_started: now,
+            next_segment: 0,
+            discontinuity: false,
+        }
+    }
+
+    /// Target duration of the segments.
     pub fn target(&self) -> Ms {
         match &self.stage {
             Stage::Playing(play) => Ms(play.source.target as f64 * 1e3),
-            _ => Ms(2e3),
+            _ => DEFAULT_TARGET,
         }
     }
 
-    /// It plays from `self.next` on; what that is by the clock is set anew.
+    /// Starts playing at `next_segment`, from which the nominal start of the title follows.
     pub fn play(&mut self, now: Ms, play: Play) {
-        let before: f64 = play.source.segments.iter().take(self.next).map(|it| it.seconds).sum();
-        self.began = now - Ms(before * 1e3);
-        self.seam = self.edition.next_number() > 0;
+        let segments = play.source.segments.iter().take(self.next_segment);
+        let before_s: f64 = segments.map(|segment| segment.seconds).sum();
+        self.title_started = now - Ms(before_s * 1e3);
+        self.discontinuity = self.edition.next_number() > 0;
         self.edition.aim_at(play.source.target);
         self.stage = Stage::Playing(play);
     }
 
-    /// Another rung holds from the next piece on.
-    pub fn step(&mut self, rung: Rung, source: Rc<Source>) {
+    /// Continues at another rung from the next segment on.
+    pub fn change_rung(&mut self, rung: Rung, source: Rc<Source>) {
         if let Stage::Playing(play) = &mut self.stage {
             play.rung = rung;
             play.source = source;
-            self.seam = true;
+            self.discontinuity = true;
         }
     }
 
-    /// Publishes what is due by now; returns what is left to play once all is published.
+    /// Publishes the segments that are due. Once all are published, returns the time that is left to play.
     pub fn publish(&mut self, now: Ms, keys: &Keys, expires: u64) -> Option<Ms> {
         let target = self.target();
         let Stage::Playing(play) = &self.stage else {
             return None;
         };
-        let played = now - self.began;
-        let upto = play.source.at_ms(presence::publish_to(played, target).0);
+        let played = now - self.title_started;
+        let last = play.source.at_ms(presence::publish_to(played, target).0);
         let rung = play.rung.0;
-        let address = |what: &str| {
-            let viewing = play.vw.to_string();
+        let signed_address = |what: &str| {
+            let viewing = play.viewing.to_string();
             let ticket = keys.ticket(&Claim { viewing: &viewing, what, rung, expires });
             format!("http://{}/viewings/{viewing}/{rung}/{what}?{ticket}", play.address)
         };
-        while self.next <= upto && self.next < play.source.segments.len() {
-            let segment = &play.source.segments[self.next];
-            let new = self.seam || self.edition.last_index().is_none();
+        while self.next_segment <= last && self.next_segment < play.source.segments.len() {
+            let segment = &play.source.segments[self.next_segment];
+            let needs_map = self.discontinuity || self.edition.last_index().is_none();
             self.edition.publish(Piece {
-                index: self.next,
-                uri: address(&segment.uri),
-                map: play.source.map.as_deref().filter(|_| new).map(address),
+                index: self.next_segment,
+                uri: signed_address(&segment.uri),
+                map: play.source.map.as_deref().filter(|_| needs_map).map(signed_address),
                 seconds: segment.seconds,
-                discontinuity: self.seam,
+                discontinuity: self.discontinuity,
             });
-            (self.seam, self.next) = (false, self.next + 1);
+            (self.discontinuity, self.next_segment) = (false, self.next_segment + 1);
         }
         self.edition.slide(play.source.at_ms((played - target).0.max(0.0)));
-        if self.next < play.source.segments.len() {
+        if self.next_segment < play.source.segments.len() {
             return None;
         }
         self.edition.close();
         Some(Ms((play.source.length_ms() - played.0).max(0.0)))
     }
 
-    /// Its server is lost: what the player has not read is taken back.
-    pub fn break_off(&mut self, now: Ms) {
+    /// The viewing's server is lost: playing will continue at the nominal position, unless the player says
+    /// what it wants next.
+    pub fn interrupt(&mut self, now: Ms) {
         if let Stage::Playing(play) = &self.stage {
-            // Where it is by the clock, until the player says what it wants next.
-            self.next = play.source.at_ms((now - self.began).0.max(0.0)).min(self.next);
+            let played_ms = (now - self.title_started).0.max(0.0);
+            self.next_segment = play.source.at_ms(played_ms).min(self.next_segment);
         }
-        self.stage = Stage::Broken;
+        self.stage = Stage::Interrupted;
     }
 
-    /// The viewer comes again, and may tell the number in the media sequence that it wants next.
-    pub fn resume(&mut self, unread: Option<u64>) {
+    /// Withdraws published segments from the given media sequence number on, which the player wants next, or
+    /// else by the nominal position.
+    pub fn resume(&mut self, next_sequence: Option<u64>) {
         if self.edition.last_index().is_some() {
-            self.next = self.edition.withdraw(unread, self.next);
+            self.next_segment = self.edition.withdraw(next_sequence, self.next_segment);
         }
     }
 
+    /// Path of the watch's playlist.
     pub fn path(id: &WatchId) -> String {
         format!("/viewing/{id}.m3u8")
     }
