--- a/front/src/tests.rs
+++ b/front/src/tests.rs
@@ -1,7 +1,7 @@
+mod harness;
 mod history;
 mod lists;
-mod parts;
 mod requests;
-mod stage;
+mod slot_shares;
 mod tune_ins;
 mod viewings;
--- a/front/src/tests/history.rs
+++ b/front/src/tests/history.rs
@@ -1,6 +1,6 @@
-//! The rules, whatever happens in whatever order.
+//! Invariants that hold for any sequence of inputs.
 
-use super::stage::{playing, set_up, three, SetUpSaid, Stage};
+use super::harness::{playing, set_up, three_servers, Harness, RecordedSetUp};
 use crate::ids::{ServerId, ViewingId};
 use crate::{RequestId, SetUpEnd, WatchId};
 use ottersail_wire::catalogue::Standing;
@@ -10,39 +10,44 @@
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the rules want of any history, kept by looking at what was said alone.
+/// Checks the invariants by the requested effects alone.
 #[derive(Default)]
-struct Watchman {
-    /// Set-ups that are out, by viewing.
-    out: BTreeMap<ViewingId, SetUpSaid>,
-    /// Unsafe viewings of which a set-up may have run.
-    ran: BTreeSet<ViewingId>,
+struct InvariantChecker {
+    /// Set-ups in progress, by viewing.
+    set_ups: BTreeMap<ViewingId, RecordedSetUp>,
+    /// Viewings of the unsafe package of which a set-up may have taken effect.
+    may_have_run: BTreeSet<ViewingId>,
     answered: BTreeSet<u64>,
-    seen: usize,
+    /// Number of lines checked.
+    checked: usize,
 }
 
-impl Watchman {
-    fn look(&mut self, said: &[String], draining: &BTreeSet<String>) {
-        for line in &said[self.seen..] {
+impl InvariantChecker {
+    fn check(&mut self, lines: &[String], draining: &BTreeSet<String>) {
+        for line in &lines[self.checked..] {
             let words: Vec<&str> = line.split(' ').collect();
             match words[0] {
                 "set_up" => {
-                    let it = set_up(std::slice::from_ref(line));
-                    assert!(!draining.contains(&it.server), "{line}: told to drain");
-                    assert!(!self.ran.contains(&it.vw), "{line}: an earlier one may have run");
+                    let sent = set_up(std::slice::from_ref(line));
+                    assert!(!draining.contains(&sent.server), "{line}: the server drains");
+                    assert!(
+                        !self.may_have_run.contains(&sent.viewing),
+                        "{line}: an earlier one may have run"
+                    );
                     if words[6] == "rides" {
-                        assert_ne!(words[7], "0", "{line}: under the floor");
+                        assert_ne!(words[7], "0", "{line}: below the floor");
                     }
-                    assert!(self.out.insert(it.vw.clone(), it).is_none(), "{line}: two out at once");
+                    let earlier = self.set_ups.insert(sent.viewing.clone(), sent);
+                    assert!(earlier.is_none(), "{line}: two in progress at once");
                 }
                 "call_off" => {
-                    self.out.remove(&ViewingId::from(words[1]));
+                    self.set_ups.remove(&ViewingId::from(words[1]));
                 }
                 "reply" => assert!(self.answered.insert(words[1].parse().unwrap()), "{line}: answered twice"),
                 _ => {}
             }
         }
-        self.seen = said.len();
+        self.checked = lines.len();
     }
 }
 
@@ -53,99 +58,105 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever happens in whatever order: one answer in time, one set-up out, nothing to drained servers,
-    /// nothing sent again that may have run.
+    /// Each request gets one answer in time, each viewing has at most one set-up in progress, draining
+    /// servers get none, and nothing unsafe that may have run is sent again.
     #[test]
-    fn the_rules_hold_in_any_history(
+    fn the_invariants_hold_for_any_sequence_of_inputs(
         steps in proptest::collection::vec((0u8..11, 0usize..8, 0.0..400.0f64), 1..120)
     ) {
-        let mut stage = Stage::new();
-        let (mut watchman, mut draining) = (Watchman::default(), BTreeSet::new());
-        let (mut asked, mut left) = (BTreeMap::new(), BTreeSet::new());
+        let mut harness = Harness::new();
+        let (mut checker, mut draining) = (InvariantChecker::default(), BTreeSet::new());
+        // Times of all requests, and the requests that were closed.
+        let (mut requested, mut closed) = (BTreeMap::new(), BTreeSet::new());
         let (mut watches, mut index): (Vec<WatchId>, u64) = (Vec::new(), 1);
         for (step, which, span) in steps {
-            let out: Vec<SetUpSaid> = watchman.out.values().cloned().collect();
-            let one = out.get(which % out.len().max(1)).cloned();
-            let rides = one.as_ref().and_then(|it| {
-                stage.said.iter().find(|line| line.starts_with(&format!("set_up {} ", it.vw)))
+            let set_ups: Vec<RecordedSetUp> = checker.set_ups.values().cloned().collect();
+            let chosen = set_ups.get(which % set_ups.len().max(1)).cloned();
+            let is_unsafe = chosen.as_ref().and_then(|set_up| {
+                let prefix = format!("set_up {} ", set_up.viewing);
+                harness.lines.iter().find(|line| line.starts_with(&prefix))
             }).is_some_and(|line| line.contains(" rides "));
-            match (step, one) {
+            match (step, chosen) {
                 (0 | 1, _) => {
-                    stage.asks(if which % 3 == 0 { "rides" } else { "clips" });
-                    asked.insert(stage.asks, stage.now);
+                    harness.request(if which % 3 == 0 { "rides" } else { "clips" });
+                    requested.insert(harness.requests, harness.now);
                 }
-                (2 | 3, Some(it)) => {
-                    watchman.out.remove(&it.vw);
-                    let said = stage.ends(&it, playing());
-                    let found = said.iter().filter_map(|it| it.split("/viewing/").nth(1));
-                    watches.extend(found.map(|it| WatchId(it.split(".m3u8").next().unwrap().into())));
+                (2 | 3, Some(set_up)) => {
+                    checker.set_ups.remove(&set_up.viewing);
+                    let effects = harness.end_set_up(&set_up, playing());
+                    let found = effects.iter().filter_map(|line| line.split("/viewing/").nth(1));
+                    watches.extend(found.map(|path| WatchId(path.split(".m3u8").next().unwrap().into())));
                 }
-                (4, Some(it)) => {
-                    watchman.out.remove(&it.vw);
+                (4, Some(set_up)) => {
+                    checker.set_ups.remove(&set_up.viewing);
                     let end = [
                         SetUpEnd::TurnedAway, SetUpEnd::NoConnection, SetUpEnd::NotSent,
                         SetUpEnd::ServerError, SetUpEnd::ConnectionLost,
                     ][which % 5].clone();
-                    if rides && which % 5 > 2 {
-                        watchman.ran.insert(it.vw.clone());
+                    if is_unsafe && which % 5 > 2 {
+                        checker.may_have_run.insert(set_up.viewing.clone());
                     }
-                    stage.ends(&it, end);
+                    harness.end_set_up(&set_up, end);
                 }
-                (5, _) if stage.asks > 0 => {
-                    let ask = 1 + which as u64 % stage.asks;
-                    left.insert(ask);
-                    stage.does(|front, now, out| front.request_closed(now, RequestId(ask), out));
+                (5, _) if harness.requests > 0 => {
+                    let request = 1 + which as u64 % harness.requests;
+                    closed.insert(request);
+                    let request = RequestId(request);
+                    harness.call(|front, now, effects| front.request_closed(now, request, effects));
                 }
                 (6, _) if !watches.is_empty() => {
                     let id = watches[which % watches.len()].clone();
-                    stage.reloads(&id, Some(which as u64).filter(|it| it % 2 == 0));
-                    asked.insert(stage.asks, stage.now);
+                    harness.reload(&id, Some(which as u64).filter(|number| number % 2 == 0));
+                    requested.insert(harness.requests, harness.now);
                 }
                 (7, _) => {
                     let server = ServerId::from(format!("box-{}", which % 3).as_str());
-                    stage.does(|front, now, out| front.server_lost(now, &server, out));
+                    harness.call(|front, now, effects| front.server_lost(now, &server, effects));
                 }
                 (8, _) => {
                     index += 1;
-                    let standing = |it: usize| match which >> it & 1 {
+                    let standing = |bit: usize| match which >> bit & 1 {
                         1 => Standing::Draining,
                         _ => Standing::Up,
                     };
-                    let list = three([0, 1, 2].map(standing));
-                    let told = list.iter().filter(|it| it.standing != Standing::Up);
-                    draining = told.map(|it| it.id.clone()).collect();
-                    stage.does(|front, now, out| front.servers_listed(now, index, &list, out));
+                    let list = three_servers([0, 1, 2].map(standing));
+                    let not_up = list.iter().filter(|listed| listed.standing != Standing::Up);
+                    draining = not_up.map(|listed| listed.id.clone()).collect();
+                    harness.call(|front, now, effects| front.servers_listed(now, index, &list, effects));
                 }
                 (9, _) => {
                     let server = ServerId::from(format!("box-{}", which % 3).as_str());
                     let link = Some(which as f64 / 2.0);
                     let note = Note::Load(Report { link, ..Report::default() });
-                    stage.does(|front, now, out| front.note_received(now, &server, &note, out));
+                    harness.call(|front, now, effects| front.note_received(now, &server, &note, effects));
                 }
                 _ => {
-                    let said = stage.passes(span);
-                    // A time-out of an unsafe one: it may have run.
-                    for line in said.iter().filter(|it| it.starts_with("call_off")) {
-                        let vw = line.split(' ').nth(1).unwrap();
-                        let of = format!("set_up {vw} ");
-                        if stage.said.iter().any(|it| it.starts_with(&of) && it.contains(" rides ")) {
-                            watchman.ran.insert(vw.into());
+                    let effects = harness.advance(span);
+                    // An unsafe set-up that timed out may have run.
+                    for line in effects.iter().filter(|line| line.starts_with("call_off")) {
+                        let id = line.split(' ').nth(1).unwrap();
+                        let prefix = format!("set_up {id} ");
+                        let sent_unsafe =
+                            |line: &String| line.starts_with(&prefix) && line.contains(" rides ");
+                        if harness.lines.iter().any(sent_unsafe) {
+                            checker.may_have_run.insert(id.into());
                         }
                     }
                 }
             }
-            watchman.look(&stage.said, &draining);
-            for (ask, at) in &asked {
-                let owed = stage.now - at > 4000.0 && !left.contains(ask);
-                prop_assert!(!owed || watchman.answered.contains(ask), "request {} has no answer", ask);
+            checker.check(&harness.lines, &draining);
+            for (request, at) in &requested {
+                let owed = harness.now - at > 4000.0 && !closed.contains(request);
+                prop_assert!(!owed || checker.answered.contains(request), "request {} has no answer", request);
             }
         }
-        stage.passes(4000.0);
-        watchman.look(&stage.said, &draining);
-        for ask in asked.keys().filter(|it| !left.contains(it)) {
-            prop_assert!(watchman.answered.contains(ask), "request {} has no answer", ask);
+        harness.advance(4000.0);
+        checker.check(&harness.lines, &draining);
+        for request in requested.keys().filter(|request| !closed.contains(request)) {
+            prop_assert!(checker.answered.contains(request), "request {} has no answer", request);
         }
-        stage.passes(120_000.0);
-        prop_assert_eq!((stage.front.watch_count(), stage.front.viewing_count(), stage.front.waiting_requests()), (0, 0, 0));
+        harness.advance(120_000.0);
+        let front = &harness.front;
+        prop_assert_eq!((front.watch_count(), front.viewing_count(), front.waiting_requests()), (0, 0, 0));
     }
 }
--- a/front/src/tests/tune_ins.rs
+++ b/front/src/tests/tune_ins.rs
@@ -1,48 +1,48 @@
-//! Tune-ins that come to nothing, or too late.
+//! Tune-ins that fail or end too late.
 
-use super::stage::{all_set_ups, has, playing, set_up, Stage, LIST};
+use super::harness::{all_set_ups, contains, playing, set_up, Harness, PLAYLIST};
 use crate::{RequestId, SetUpEnd};
 
 #[test]
-fn a_late_answer_of_a_timed_out_set_up_changes_nothing() {
-    let mut stage = Stage::new();
-    let first = set_up(&stage.asks("clips"));
-    let said = stage.passes(300.0);
-    let second = set_up(&said);
-    assert!(has(&said, &format!("call_off {} 0", first.vw)), "{said:?}");
-    assert_eq!((second.no, &second.vw), (1, &first.vw));
+fn a_late_answer_to_a_timed_out_set_up_changes_nothing() {
+    let mut harness = Harness::new();
+    let first = set_up(&harness.request("clips"));
+    let effects = harness.advance(300.0);
+    let second = set_up(&effects);
+    assert!(contains(&effects, &format!("call_off {} 0", first.viewing)), "{effects:?}");
+    assert_eq!((second.tune_in, &second.viewing), (1, &first.viewing));
     assert_ne!(second.server, first.server);
-    assert_eq!(stage.ends(&first, playing()), Vec::<String>::new());
-    assert!(has(&stage.ends(&second, playing()), "reply 1 Playlist"));
+    assert_eq!(harness.end_set_up(&first, playing()), Vec::<String>::new());
+    assert!(contains(&harness.end_set_up(&second, playing()), "reply 1 Playlist"));
 }
 
 #[test]
-fn an_answer_after_the_viewer_gave_up_changes_nothing() {
-    let mut stage = Stage::new();
-    let first = set_up(&stage.asks("rides"));
-    let said = stage.passes(4000.0);
-    assert!(has(&said, "reply 1 Aborted { late: true }"), "{said:?}");
-    assert_eq!(all_set_ups(&said), [], "an unsafe package is not sent again");
-    assert_eq!(stage.ends(&first, playing()), Vec::<String>::new());
-    assert_eq!(stage.front.viewing_count(), 0);
+fn an_answer_after_the_patience_ended_changes_nothing() {
+    let mut harness = Harness::new();
+    let first = set_up(&harness.request("rides"));
+    let effects = harness.advance(4000.0);
+    assert!(contains(&effects, "reply 1 Aborted { late: true }"), "{effects:?}");
+    assert_eq!(all_set_ups(&effects), [], "an unsafe package is not sent again");
+    assert_eq!(harness.end_set_up(&first, playing()), Vec::<String>::new());
+    assert_eq!(harness.front.viewing_count(), 0);
 }
 
 #[test]
-fn a_viewer_who_leaves_frees_the_place_at_once() {
-    let mut stage = Stage::new();
-    let first = set_up(&stage.asks("rides"));
-    assert!(has(&stage.asks("rides"), "reply 2 Blocked"), "one seat for the title");
-    let said = stage.does(|front, now, out| front.request_closed(now, RequestId(1), out));
-    assert!(has(&said, &format!("call_off {} 0", first.vw)), "{said:?}");
-    assert_eq!(all_set_ups(&stage.asks("rides")).len(), 1, "the seat can be had again");
-    assert!(!has(&stage.said, "reply 1 "), "nobody waits for an answer any more");
+fn a_viewer_who_leaves_frees_the_seat_at_once() {
+    let mut harness = Harness::new();
+    let first = set_up(&harness.request("rides"));
+    assert!(contains(&harness.request("rides"), "reply 2 Blocked"), "one seat for the title");
+    let effects = harness.call(|front, now, out| front.request_closed(now, RequestId(1), out));
+    assert!(contains(&effects, &format!("call_off {} 0", first.viewing)), "{effects:?}");
+    assert_eq!(all_set_ups(&harness.request("rides")).len(), 1, "the seat is free again");
+    assert!(!contains(&harness.lines, "reply 1 "), "nobody waits for that answer any more");
 }
 
 #[test]
-fn an_unfit_playlist_is_a_servers_error() {
-    let mut stage = Stage::new();
-    let first = set_up(&stage.asks("clips"));
-    let said = stage.ends(&first, SetUpEnd::Playing { playlist: LIST[..60].into() });
-    assert!(has(&said, &format!("call_off {} 0", first.vw)), "{said:?}");
-    assert_eq!(set_up(&said).no, 1);
+fn an_invalid_playlist_counts_as_a_server_error() {
+    let mut harness = Harness::new();
+    let first = set_up(&harness.request("clips"));
+    let effects = harness.end_set_up(&first, SetUpEnd::Playing { playlist: PLAYLIST[..60].into() });
+    assert!(contains(&effects, &format!("call_off {} 0", first.viewing)), "{effects:?}");
+    assert_eq!(set_up(&effects).tune_in, 1);
 }
--- a/front/src/tests/viewings.rs
+++ b/front/src/tests/viewings.rs
@@ -1,6 +1,6 @@
-//! Viewings that play: what is published for them, their steps and their ends.
+//! Playing viewings: what is published for them, their steps and their ends.
 
-use super::stage::{all_set_ups, has, playing, set_up, Stage, LIST};
+use super::harness::{all_set_ups, contains, playing, set_up, Harness, PLAYLIST};
 use crate::ids::ServerId;
 use crate::RequestId;
 use ottersail_wire::notes::{EndCause, Note};
@@ -8,86 +8,91 @@
 use test_case::test_case;
 
 #[test]
-fn a_viewing_from_the_question_to_the_segments() {
-    let mut stage = Stage::new();
-    let (set_up, id) = stage.plays();
-    assert!(has(&stage.said, &format!("listen {}", set_up.server)));
-    let said = stage.reloads(&id, None);
-    let text = said.last().unwrap();
-    assert!(text.contains(&format!("/viewings/{}/2/s0.m4s?t=", set_up.vw)), "{text}");
+fn a_viewing_from_the_request_to_its_end() {
+    let mut harness = Harness::new();
+    let (set_up, id) = harness.start_playing();
+    assert!(contains(&harness.lines, &format!("listen {}", set_up.server)));
+    let effects = harness.reload(&id, None);
+    let text = effects.last().unwrap();
+    assert!(text.contains(&format!("/viewings/{}/2/s0.m4s?t=", set_up.viewing)), "{text}");
     assert!(text.contains("s3.m4s") && !text.contains("s4.m4s"), "three segments ahead: {text}");
     assert!(!text.contains("ENDLIST") && !text.contains("PLAYLIST-TYPE"), "{text}");
-    stage.passes(6000.0);
-    assert!(has(&stage.reloads(&id, Some(4)), "s6.m4s"));
-    stage.passes(6000.0);
-    assert!(has(&stage.reloads(&id, Some(7)), "ENDLIST"));
-    let said = stage.passes(60_000.0);
-    assert!(has(&said, &format!("let_go {}", set_up.vw)), "{said:?}");
-    assert_eq!((stage.front.watch_count(), stage.front.viewing_count()), (0, 0));
-    assert!(has(&said, &format!("hang_up {}", set_up.server)));
+    harness.advance(6000.0);
+    assert!(contains(&harness.reload(&id, Some(4)), "s6.m4s"));
+    harness.advance(6000.0);
+    assert!(contains(&harness.reload(&id, Some(7)), "ENDLIST"));
+    let effects = harness.advance(60_000.0);
+    assert!(contains(&effects, &format!("let_go {}", set_up.viewing)), "{effects:?}");
+    assert_eq!((harness.front.watch_count(), harness.front.viewing_count()), (0, 0));
+    assert!(contains(&effects, &format!("hang_up {}", set_up.server)));
 }
 
 #[test]
-fn a_step_shows_in_the_segments_published_next() {
-    let mut stage = Stage::new();
-    let (first, id) = stage.plays();
-    stage.reloads(&id, None);
-    // The link is overrun: the module steps it down.
+fn a_step_appears_in_the_segments_published_next() {
+    let mut harness = Harness::new();
+    let (first, id) = harness.start_playing();
+    harness.reload(&id, None);
+    // The link is overloaded, so the viewing steps down.
     let server = ServerId::from(first.server.as_str());
     let note = Note::Load(Report { link: Some(40.0), ..Report::default() });
-    stage.does(|front, now, out| front.note_received(now, &server, &note, out));
-    let said = stage.passes(3000.0);
-    assert!(has(&said, &format!("change_rung {} {} 127.", first.vw, first.server)), "{said:?}");
-    stage.does(|front, now, out| front.rung_changed(now, &first.vw, 1, Some(LIST), out));
-    let said = stage.reloads(&id, Some(4));
-    let text = said.iter().find(|it| it.starts_with("reply")).unwrap();
+    harness.call(|front, now, effects| front.note_received(now, &server, &note, effects));
+    let effects = harness.advance(3000.0);
+    let change = format!("change_rung {} {} 127.", first.viewing, first.server);
+    assert!(contains(&effects, &change), "{effects:?}");
+    harness.call(|front, now, effects| front.rung_changed(now, &first.viewing, 1, Some(PLAYLIST), effects));
+    let effects = harness.reload(&id, Some(4));
+    let text = effects.iter().find(|line| line.starts_with("reply")).unwrap();
     let (before, after) = text.split_once("/2/s3.m4s").unwrap();
     assert!(!before.contains("DISCONTINUITY") && after.contains("#EXT-X-DISCONTINUITY"), "{text}");
     assert!(after.contains("/1/init.mp4") && after.contains("/1/s4.m4s"), "{text}");
 }
 
 #[test]
-fn a_viewer_who_leaves_as_the_answer_comes_is_found_out_by_silence() {
-    let mut stage = Stage::new();
-    let (first, _) = stage.plays();
+fn a_viewer_who_leaves_as_the_answer_is_sent_is_detected_by_missing_reloads() {
+    let mut harness = Harness::new();
+    let (first, _) = harness.start_playing();
+    let effects = harness.call(|front, now, effects| front.request_closed(now, RequestId(1), effects));
+    assert_eq!(effects, Vec::<String>::new());
+    let effects = harness.advance(20_000.0);
+    assert!(contains(&effects, &format!("let_go {}", first.viewing)), "{effects:?}");
     assert_eq!(
-        stage.does(|front, now, out| front.request_closed(now, RequestId(1), out)),
-        Vec::<String>::new()
+        harness.front.viewing_count(),
+        0,
+        "ended without the server's confirmation after its time-out"
     );
-    let said = stage.passes(20_000.0);
-    assert!(has(&said, &format!("let_go {}", first.vw)), "{said:?}");
-    assert_eq!(stage.front.viewing_count(), 0, "ended without the server's word after it lingered");
 }
 
-#[test_case(Some(2) => 2; "the player tells what it lacks")]
-#[test_case(None => 1; "by the clock")]
-fn a_lost_server_is_left_with_the_next_reload(unread: Option<u64>) -> usize {
-    let mut stage = Stage::new();
-    let (first, id) = stage.plays();
-    stage.reloads(&id, None);
-    stage.passes(2500.0);
+#[test_case(Some(2) => 2; "at the sequence number that the player wants")]
+#[test_case(None => 1; "at the nominal position")]
+fn after_a_lost_server_the_next_reload_continues_elsewhere(next_sequence: Option<u64>) -> usize {
+    let mut harness = Harness::new();
+    let (first, id) = harness.start_playing();
+    harness.reload(&id, None);
+    harness.advance(2500.0);
     let server = ServerId::from(first.server.as_str());
-    let said = stage.does(|front, now, out| front.server_lost(now, &server, out));
-    assert!(has(&said, &format!("hang_up {}", first.server)));
-    let second = set_up(&stage.reloads(&id, unread));
+    let effects = harness.call(|front, now, effects| front.server_lost(now, &server, effects));
+    assert!(contains(&effects, &format!("hang_up {}", first.server)));
+    let second = set_up(&harness.reload(&id, next_sequence));
     assert_ne!(second.server, first.server);
-    let said = stage.ends(&second, playing());
-    let text = said.iter().find(|it| it.starts_with("reply")).unwrap();
-    let number = |of: &str| {
-        text.split(of).nth(1).unwrap().split(|it: char| !it.is_ascii_digit()).next().unwrap().to_string()
+    let effects = harness.end_set_up(&second, playing());
+    let text = effects.iter().find(|line| line.starts_with("reply")).unwrap();
+    let number_after = |prefix: &str| {
+        let rest = text.split(prefix).nth(1).unwrap();
+        rest.split(|character: char| !character.is_ascii_digit()).next().unwrap().to_string()
     };
-    assert!(text.contains("EXT-X-DISCONTINUITY\\n") && !text.contains(&format!("{}/", first.vw)), "{text}");
-    assert_eq!(number("MEDIA-SEQUENCE:"), "4", "numbers go on: {text}");
-    number("/s").parse().unwrap()
+    let old_address = format!("{}/", first.viewing);
+    assert!(text.contains("EXT-X-DISCONTINUITY\\n") && !text.contains(&old_address), "{text}");
+    assert_eq!(number_after("MEDIA-SEQUENCE:"), "4", "sequence numbers continue: {text}");
+    number_after("/s").parse().unwrap()
 }
 
 #[test]
-fn a_server_that_ends_a_viewing_is_believed() {
-    let mut stage = Stage::new();
-    let (first, id) = stage.plays();
+fn a_viewing_ended_by_its_server_is_over() {
+    let mut harness = Harness::new();
+    let (first, id) = harness.start_playing();
     let server = ServerId::from(first.server.as_str());
-    let note = Note::Ended { viewing: first.vw.to_string(), cause: EndCause::Left };
-    stage.does(|front, now, out| front.note_received(now, &server, &note, out));
-    assert_eq!(stage.front.viewing_count(), 0);
-    assert_eq!(all_set_ups(&stage.reloads(&id, None)).len(), 1, "who still reloads comes again");
+    let note = Note::Ended { viewing: first.viewing.to_string(), cause: EndCause::Left };
+    harness.call(|front, now, effects| front.note_received(now, &server, &note, effects));
+    assert_eq!(harness.front.viewing_count(), 0);
+    assert_eq!(all_set_ups(&harness.reload(&id, None)).len(), 1, "a further reload starts a new viewing");
 }
