--- a/bench-adapter/src/wire/errors.rs
+++ b/bench-adapter/src/wire/errors.rs
@@ -15,6 +15,7 @@
     pub kind: ErrorKind,
 }
 
+/// What is wrong.
 #[derive(Debug, Error)]
 pub enum ErrorKind {
     #[error(
--- a/bench-adapter/src/wire/values.rs
+++ b/bench-adapter/src/wire/values.rs
@@ -7,6 +7,7 @@
 use ottersail_platform::errors::excerpt;
 use std::str::FromStr;
 
+/// A parsed value or the reason why there is none.
 pub type ParseResult<T> = Result<T, ErrorKind>;
 
 /// The error for an unexpected value.
@@ -22,6 +23,7 @@
 }
 
 impl<'a> Values<'a> {
+    /// The values of the line, none of them read yet.
     pub fn new(line: &'a str) -> Self {
         Values { line, rest: Some(line) }
     }
@@ -44,6 +46,7 @@
         }
     }
 
+    /// The next value, which must be present.
     pub fn number<T: FromStr>(&mut self, expected: &'static str) -> ParseResult<T> {
         match self.optional(expected)? {
             Some(value) => Ok(value),
@@ -91,6 +94,7 @@
         .map_or_else(|| unexpected(hex, "pairs of hex digits"), Ok)
 }
 
+/// The outcome of a code.
 pub fn outcome(code: &str) -> ParseResult<Outcome> {
     Ok(match code {
         "served" => Outcome::Served,
--- a/front/src/baseline.rs
+++ b/front/src/baseline.rs
@@ -41,6 +41,7 @@
 }
 
 impl Baseline {
+    /// Decisions without servers; the seed determines all random draws.
     pub fn new(config: PlacementConfig, pick: Pick, seed: u64) -> Baseline {
         let rng = fastrand::Rng::with_seed(seed);
         Baseline { pick, config, servers_by_cell: BTreeMap::new(), link_loads: BTreeMap::new(), rng }
--- a/front/src/front.rs
+++ b/front/src/front.rs
@@ -101,6 +101,7 @@
         info!(waiting = self.state.requests.len(), watches = self.state.watches.len(), "draining");
     }
 
+    /// Whether new requests are rejected because of a drain.
     pub fn is_draining(&self) -> bool {
         self.state.draining
     }
@@ -143,10 +144,12 @@
         self.state.requests.len()
     }
 
+    /// Number of viewers who watch, interrupted ones included.
     pub fn watch_count(&self) -> usize {
         self.state.watches.len()
     }
 
+    /// Number of viewings that have not completely ended, set-ups included.
     pub fn viewing_count(&self) -> usize {
         self.state.viewings.len()
     }
@@ -156,10 +159,12 @@
         self.state.viewings.contains_key(id)
     }
 
+    /// Number of listed servers.
     pub fn server_count(&self) -> usize {
         self.state.server_list.len()
     }
 
+    /// Event counters since the start.
     pub fn counts(&self) -> Counts {
         self.state.counts
     }
--- a/front/src/server_list.rs
+++ b/front/src/server_list.rs
@@ -85,10 +85,12 @@
         self.known.get(server)
     }
 
+    /// Number of servers that are up or drain.
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
+    /// Whether no server is up or drains.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
--- a/front/src/timers.rs
+++ b/front/src/timers.rs
@@ -4,6 +4,7 @@
 use ottersail::time::Ms;
 use std::collections::BTreeMap;
 
+/// Timers by key.
 #[derive(Debug)]
 pub struct Timers<K> {
     /// Keys by time and sequence number.
@@ -14,6 +15,7 @@
 }
 
 impl<K: Ord + Clone> Timers<K> {
+    /// No timers.
     pub fn new() -> Self {
         Timers { queue: BTreeMap::new(), positions: BTreeMap::new(), sequence: 0 }
     }
@@ -26,6 +28,7 @@
         self.positions.insert(key, (at, self.sequence));
     }
 
+    /// Removes the key's timer, if it has one.
     pub fn cancel(&mut self, key: &K) {
         if let Some(position) = self.positions.remove(key) {
             self.queue.remove(&position);
@@ -45,6 +48,7 @@
         Some(key)
     }
 
+    /// Number of timers.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.queue.len()
--- a/front/src/watch.rs
+++ b/front/src/watch.rs
@@ -21,6 +21,7 @@
     pub source: Rc<Source>,
 }
 
+/// Stage of the present viewing of a watch.
 #[derive(Debug)]
 pub enum Stage {
     /// A viewing was accepted; these requests wait for its answer.
@@ -33,6 +34,7 @@
     Interrupted,
 }
 
+/// One viewer watching one title, over any number of viewings.
 #[derive(Debug)]
 pub struct Watch {
     pub request: TitleRequest,
--- a/src/demand.rs
+++ b/src/demand.rs
@@ -15,6 +15,7 @@
 }
 
 impl Demand {
+    /// Demand of no viewing.
     pub const ZERO: Demand = Demand { kb: 0.0, units: 0.0 };
 
     /// The sum, or exactly zero once no viewing is left, so that rounding errors do not accumulate.
@@ -79,6 +80,7 @@
 }
 
 impl ViewingsByClass {
+    /// Adds a viewing of the class.
     pub fn add(&mut self, class: DemandClass, viewing: &ViewingId, playing: bool) {
         let members = self.classes.entry(class).or_default();
         members.all.insert(viewing.clone());
@@ -87,6 +89,7 @@
         }
     }
 
+    /// Removes a viewing of the class.
     pub fn remove(&mut self, class: DemandClass, viewing: &ViewingId) {
         if let Some(members) = self.classes.get_mut(&class) {
             members.all.remove(viewing);
@@ -97,10 +100,12 @@
         }
     }
 
+    /// Whether no viewing is counted.
     pub fn is_empty(&self) -> bool {
         self.classes.is_empty()
     }
 
+    /// The number of viewings of each class.
     pub fn counts(&self) -> Vec<ClassCount> {
         self.classes.iter().map(|(class, members)| (*class, members.all.len() as f64)).collect()
     }
--- a/src/placement/notes.rs
+++ b/src/placement/notes.rs
@@ -24,7 +24,7 @@
         (self.join_target() * REVIEW_INTERVAL_SHARE).max(self.config.tick).max(Ms(1.0))
     }
 
-    /// Draws the server's step threshold anew for a note about the time `at`. A note from before the last
+    /// Draws a new step threshold of the server for a note about the time `at`. A note from before the last
     /// draw completes what was known then, so it is reviewed with that threshold. One from within `smoothing`
     /// after it reflects the managers' reaction only in part, and is not acted on.
     pub(super) fn draw_step_threshold(&mut self, id: &ServerId, at: Ms, smoothing: Ms) {
--- a/src/placement/tests/cold_fleet.rs
+++ b/src/placement/tests/cold_fleet.rs
@@ -22,7 +22,7 @@
     NumberIsTold,
     /// The number of managers changes, and managers learn it by a restart.
     NumberComesByRestart,
-    /// Slots are assigned anew.
+    /// Slots are reassigned.
     SlotsAreTold,
 }
 
@@ -129,20 +129,22 @@
     }
 
     /// The number of managers changes; those that remain learn it with a delay.
-    fn plan_count(&mut self, at: f64, before: u64, after: u64, told: bool) {
+    fn plan_count(&mut self, at: f64, before: u64, after: u64, without_restart: bool) {
         for number in 0..before.max(after) {
             let learnt = Ms(at + self.rng.unit() * LEARNING_DELAY);
             let manager_count = after as f64;
             self.changes.push(match number {
                 _ if number >= before => (Ms(at), number, Change::Start { manager_count }),
                 _ if number >= after => (learnt, number, Change::Stop),
-                _ if told => (learnt, number, Change::Slots { mine: vec![number], total: manager_count }),
+                _ if without_restart => {
+                    (learnt, number, Change::Slots { mine: vec![number], total: manager_count })
+                }
                 _ => (learnt, number, Change::Start { manager_count }),
             });
         }
     }
 
-    /// Assigns three slots a manager anew; each manager learns its own with a delay.
+    /// Reassigns three slots for each manager; each manager learns its own with a delay.
     fn plan_slots(&mut self, at: f64, managers: u64) {
         let mut held = vec![Vec::new(); managers as usize];
         for slot in 0..managers * 3 {
--- a/src/state/viewing.rs
+++ b/src/state/viewing.rs
@@ -5,6 +5,7 @@
 use crate::ids::{Rung, ServerId};
 use crate::time::Ms;
 
+/// Phase of a viewing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// Accepted, with no tune-in in progress.
@@ -15,6 +16,7 @@
     Over,
 }
 
+/// One attempt to start a viewing at a server.
 #[derive(Clone, Debug)]
 pub struct TuneIn {
     pub server: ServerId,
