--- a/daemon/src/rehearse.rs
+++ b/daemon/src/rehearse.rs
@@ -1,21 +1,21 @@
-//! `ottersail rehearse`: a day on loopback. The managers are processes of their own, so that they can be
-//! killed and stopped as such; servers, list and players run in here.
+//! `ottersail rehearse`: plays a day on loopback. The managers are separate processes, so that they can be
+//! killed and stopped; the servers, the discovery service and the players run in this process.
 
-mod beliefs;
-mod costs;
 mod error;
-mod files;
-mod gossip;
+mod file_limit;
+mod manager_faults;
+mod manager_process;
+mod member_network;
+mod membership_views;
 mod options;
 mod play;
-mod stage;
-mod steps;
+mod resource_usage;
 
 use crate::settings::day::load_day;
 use async_signal::Signals;
-use error::at;
+use error::file_error;
 pub use error::{RehearseError, UncleanExit};
-use files::bears;
+use file_limit::raise_file_limit;
 use futures_lite::StreamExt;
 pub use options::RehearsalOptions;
 use ottersail_invariants::Verdict;
@@ -26,68 +26,69 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Managers that a rehearsal starts as processes.
-const MOST_MANAGERS: usize = 400;
+/// Most managers that a rehearsal starts as processes.
+const MAX_MANAGERS: usize = 400;
 
 /// Plays a day and judges it.
 ///
 /// # Errors
-/// What kept it from being played; a broken rule is no error but a verdict.
+/// If the day can't be played. A broken rule is not an error; it is part of the verdict.
 pub fn rehearse(options: &RehearsalOptions) -> Result<Verdict, RehearseError> {
     let mut plan = load_day(&options.day)?;
     if let Some(seed) = options.seed {
         plan.day.seed = seed;
     }
-    if let Some(managers) = options.managers.filter(|it| *it > 0) {
+    if let Some(managers) = options.managers.filter(|managers| *managers > 0) {
         (plan.day.managers, plan.terms.manager_count) = (managers, managers as f64);
     }
     plan.pick = options.pick.unwrap_or(plan.pick);
     plan.one_seed &= options.pick.is_none();
-    if plan.day.managers > MOST_MANAGERS {
-        return Err(RehearseError::TooManyManagers { day: options.day.clone(), max: MOST_MANAGERS });
+    if plan.day.managers > MAX_MANAGERS {
+        return Err(RehearseError::TooManyManagers { day: options.day.clone(), max: MAX_MANAGERS });
     }
-    bears(&options.day, &plan)?;
-    sweep();
-    let folder = std::env::temp_dir().join(format!("{RUNNING}{}", std::process::id()));
-    fs::create_dir_all(&folder).map_err(at(&folder))?;
+    raise_file_limit(&options.day, &plan)?;
+    remove_stale_folders();
+    let folder = std::env::temp_dir().join(format!("{FOLDER_PREFIX}{}", std::process::id()));
+    fs::create_dir_all(&folder).map_err(file_error(&folder))?;
     let interrupted = watch_signals()?;
-    let played = play(&plan, options, &folder, &interrupted);
-    let holds = played.as_ref().is_ok_and(Verdict::holds);
+    let result = play(&plan, options, &folder, &interrupted);
+    let holds = result.as_ref().is_ok_and(Verdict::holds);
     let kept = std::env::temp_dir().join(format!("ottersail-kept-{}", std::process::id()));
     if interrupted.load(Ordering::Acquire) || (!options.keep && holds) {
         _ = fs::remove_dir_all(&folder);
     } else if fs::rename(&folder, &kept).is_ok() {
         eprintln!("the managers' files and logs are in {}", kept.display());
     }
-    played
+    result
 }
 
-/// Folders of rehearsals that run, by process; those that are to be kept are named otherwise.
-const RUNNING: &str = "ottersail-rehearsal-";
+/// Prefix of the folders of running rehearsals; the process id follows. Folders that are kept get another name.
+const FOLDER_PREFIX: &str = "ottersail-rehearsal-";
 
-/// Takes away what rehearsals have left that were killed outright; their managers ended with them.
-fn sweep() {
-    for it in fs::read_dir(std::env::temp_dir()).into_iter().flatten().flatten() {
-        let name = it.file_name().into_string().unwrap_or_default();
-        let left = name.strip_prefix(RUNNING).and_then(|it| it.parse::<u32>().ok());
-        if left.is_some_and(|pid| !Path::new(&format!("/proc/{pid}")).exists()) {
-            _ = fs::remove_dir_all(it.path());
+/// Removes the folders of rehearsals that were killed. Their managers have ended with them.
+fn remove_stale_folders() {
+    for entry in fs::read_dir(std::env::temp_dir()).into_iter().flatten().flatten() {
+        let name = entry.file_name().into_string().unwrap_or_default();
+        let owner = name.strip_prefix(FOLDER_PREFIX).and_then(|pid| pid.parse::<u32>().ok());
+        if owner.is_some_and(|pid| !Path::new(&format!("/proc/{pid}")).exists()) {
+            _ = fs::remove_dir_all(entry.path());
         }
     }
 }
 
-/// Set once this process is told to end: then nothing of the day may be left behind.
+/// A flag that is set once this process receives SIGTERM or SIGINT. The rehearsal then ends and removes all of
+/// its files.
 fn watch_signals() -> Result<Arc<AtomicBool>, RehearseError> {
     let signals = Signals::new([async_signal::Signal::Term, async_signal::Signal::Int]);
     let mut signals = signals.map_err(|cause| RehearseError::Signals { cause })?;
-    let told = Arc::new(AtomicBool::new(false));
-    let tells = told.clone();
+    let interrupted = Arc::new(AtomicBool::new(false));
+    let flag = interrupted.clone();
     std::thread::spawn(move || {
         block_on(async {
             if signals.next().await.is_some() {
-                tells.store(true, Ordering::Release);
+                flag.store(true, Ordering::Release);
             }
         });
     });
-    Ok(told)
+    Ok(interrupted)
 }
--- a/daemon/src/rehearse/error.rs
+++ b/daemon/src/rehearse/error.rs
@@ -1,4 +1,4 @@
-//! What keeps a day from being played.
+//! Errors that keep a day from being played.
 
 use crate::error::JudgeError;
 use crate::settings::error::SettingsError;
@@ -9,28 +9,29 @@
 use std::time::Duration;
 use thiserror::Error;
 
+/// Errors of `ottersail rehearse`.
 #[derive(Debug, Error)]
 pub enum RehearseError {
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    #[error("{}: more than {max} managers: play it with ottersail-simulation", day.display())]
+    #[error("{}: more than {max} managers; play it with ottersail-simulation", day.display())]
     TooManyManagers { day: PathBuf, max: usize },
     #[error(
-        "{}: needs {needs} open files, and this machine allows {allowed}: raise the limit (ulimit -Hn)",
+        "{}: needs {needs} open files, and this machine allows {allowed}; raise the limit (ulimit -Hn)",
         day.display()
     )]
     OpenFileLimit { day: PathBuf, needs: u64, allowed: u64 },
     #[error("{}: needs {needs} open files: {cause}; raise the limit (ulimit -n)", day.display())]
     RaiseOpenFileLimit { day: PathBuf, needs: u64, cause: io::Error },
-    #[error("signals can't be taken: {cause}; raise the limit on open files (ulimit -n)")]
+    #[error("cannot receive signals: {cause}; raise the limit on open files (ulimit -n)")]
     Signals { cause: io::Error },
-    #[error("{}: {cause}; make room there, or try another folder by TMPDIR", file.display())]
+    #[error("{}: {cause}; make room there, or try another folder with TMPDIR", file.display())]
     File { file: PathBuf, cause: io::Error },
     #[error("{}: {cause}; give --traffic a file that can be written", file.display())]
     WriteTraffic { file: PathBuf, cause: String },
-    #[error("{}: {cause}; write a name and a base64 secret a line", file.display())]
+    #[error("{}: {cause}; write a name and a base64 secret per line", file.display())]
     Keys { file: PathBuf, cause: String },
-    #[error("the servers of {}: {cause}; raise the limit on open files (ulimit -n)", day.display())]
+    #[error("cannot start the servers of {}: {cause}; raise the limit on open files (ulimit -n)", day.display())]
     StartServers { day: PathBuf, cause: String },
     #[error("the exchange between members: {cause}; raise the limit on open files (ulimit -n)")]
     Exchange { cause: String },
@@ -40,31 +41,31 @@
     Start { manager: usize, program: PathBuf, cause: String },
     #[error("the manager at {address} was not ready within {timeout:?}; its log tells why")]
     NotReady { address: SocketAddr, timeout: Duration },
-    #[error("told to end: the day was not played to its end, and its managers are gone; play it again")]
+    #[error("interrupted by a signal: the day was not played to its end, and its managers were killed; play it again")]
     Interrupted,
-    #[error("{}", all(exits))]
+    #[error("{}", join_lines(exits))]
     UncleanExits { exits: Vec<UncleanExit> },
     #[error(transparent)]
     Judge(#[from] JudgeError),
 }
 
-/// How a manager ended, or did not start, against what it was told.
+/// What was wrong with a manager's exit or restart.
 #[derive(Debug, Error)]
 pub enum UncleanExit {
-    #[error("manager {manager} ended with {status} when told to; its log tells why")]
+    #[error("manager {manager} ended with {status} after SIGTERM; its log tells why")]
     Failed { manager: usize, status: ExitStatus },
     #[error("manager {manager} did not end within {timeout:?} of SIGTERM; its log tells why")]
     TimedOut { manager: usize, timeout: Duration },
-    #[error("manager {manager} did not start again: {cause}; raise the limit on processes (ulimit -u)")]
+    #[error("manager {manager} could not be restarted: {cause}; raise the limit on processes (ulimit -u)")]
     RestartFailed { manager: usize, cause: String },
 }
 
-fn all(exits: &[UncleanExit]) -> String {
+fn join_lines(exits: &[UncleanExit]) -> String {
     exits.iter().map(UncleanExit::to_string).collect::<Vec<_>>().join("\n")
 }
 
-/// The folder or file that a step could not write or read.
-pub(super) fn at(file: impl Into<PathBuf>) -> impl FnOnce(io::Error) -> RehearseError {
+/// Makes the error for a file or folder that can't be read or written.
+pub(super) fn file_error(file: impl Into<PathBuf>) -> impl FnOnce(io::Error) -> RehearseError {
     let file = file.into();
     move |cause| RehearseError::File { file, cause }
 }
--- a/daemon/src/rehearse/play.rs
+++ b/daemon/src/rehearse/play.rs
@@ -1,13 +1,16 @@
-//! A day, played: the stand-ins in here, the managers beside, and what the players had of them.
+//! Plays a day: starts the servers, the managers and the players, runs the faults, and judges the traffic.
 
-use super::beliefs::{ask, follow};
-use super::costs::{rest, spent};
-use super::error::{at, RehearseError};
-use super::gossip::Gossip;
-use super::options::{RehearsalOptions, ENDS, PLAY_OUT, START};
-use super::stage::{gather, own_address, wait_end, wait_ready, Manager, Stage};
-use super::steps::trouble;
+use super::error::{file_error, RehearseError};
+use super::manager_faults::{run_manager_faults, StopFlags};
+use super::manager_process::{
+    free_address, merge_records, wait_for_exit, wait_ready, Manager, ManagerLauncher,
+};
+use super::member_network::MemberNetwork;
+use super::membership_views::{record_views, record_views_after_faults};
+use super::options::{RehearsalOptions, EXIT_TIMEOUT, PLAY_OUT, START_TIMEOUT};
+use super::resource_usage::{measure_rest, record_cpu_time};
 use crate::judge::judge_traffic;
+use crate::run::Stall;
 use crate::settings::day::DayPlan;
 use crate::settings::members::Members;
 use crate::settings::write::{write_manager, LocalSettings};
@@ -25,10 +28,19 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// The first managers are the seeds of all.
+/// So many of the first managers are the seeds of all.
 const SEEDS: usize = 3;
-const MEMBERS_PERIOD: Ms = Ms(1_000.0);
+/// Interval between probes of other members.
+const MEMBER_PERIOD: Ms = Ms(1_000.0);
 
+/// How long managers' requests for the list may be held.
+const LIST_WAIT: Ms = Ms(2_000.0);
+/// A server that sends nothing for this long is lost.
+const SERVER_SILENCE: Ms = Ms(3_000.0);
+/// Time between the start of the servers' clock and the first viewer, in milliseconds.
+const START_DELAY_MS: f64 = 200.0;
+
+/// Plays a day and judges it. `folder` gets the managers' files and logs.
 pub(super) fn play(
     plan: &DayPlan,
     options: &RehearsalOptions,
@@ -38,36 +50,39 @@
     let clock = Clock::start();
     let traffic = options.traffic.clone().unwrap_or_else(|| folder.join("traffic.jsonl"));
     let recorder = Recorder::begin(&traffic, clock, plan.judge_terms());
-    let recorder = recorder.map_err(|it| unwritten(&traffic, it.to_string()))?;
+    let recorder = recorder.map_err(|error| traffic_error(&traffic, error.to_string()))?;
     let secret = |_| format!("{:032x}", fastrand::u128(..));
     let keys_text = format!("b {}{}\na {}{}\n", secret(0), "AA", secret(1), "AA");
     let file = folder.join("keys");
-    fs::write(&file, &keys_text).map_err(at(&file))?;
-    let keys = Keys::read(&keys_text).map_err(|it| RehearseError::Keys { file, cause: it.to_string() })?;
-    let (go, going) = async_channel::bounded(1);
-    let fleet = run_fleet(&plan.day, &recorder, &keys, going)
-        .map_err(|it| RehearseError::StartServers { day: options.day.clone(), cause: it.to_string() })?;
+    fs::write(&file, &keys_text).map_err(file_error(&file))?;
+    let keys =
+        Keys::read(&keys_text).map_err(|error| RehearseError::Keys { file, cause: error.to_string() })?;
+    let (start_sender, start_receiver) = async_channel::bounded(1);
+    let fleet = run_fleet(&plan.day, &recorder, &keys, start_receiver).map_err(|error| {
+        RehearseError::StartServers { day: options.day.clone(), cause: error.to_string() }
+    })?;
 
-    let stall = plan.day.faults.iter().find(|it| it.kind == FaultKind::CoreStall);
-    let stage = Stage {
+    let stall = plan.day.faults.iter().find(|fault| fault.kind == FaultKind::CoreStall);
+    let launcher = ManagerLauncher {
         folder: folder.to_path_buf(),
-        program: std::env::current_exe().map_err(at("/proc/self/exe"))?,
+        program: std::env::current_exe().map_err(file_error("/proc/self/exe"))?,
         recording: options.record.is_some(),
         log: options.log.clone(),
         seed: plan.day.seed,
         beside: options.beside.clone(),
         pick: plan.pick,
         one_seed: plan.one_seed,
-        stall: stall.map(|it| (options.cores - 1, (it.size * 1e3) as u64)),
+        stall: stall.map(|fault| Stall { core: options.cores - 1, ms: (fault.size * 1e3) as u64 }),
     };
     let zones: Vec<String> =
-        (0..plan.day.managers).map(|it| plan.day.zones[it % plan.day.zones.len()].clone()).collect();
-    let addresses = (0..zones.len()).map(own_address).collect::<Result<Vec<_>, _>>()?;
-    let gossip = plan.members.then(|| Gossip::start(plan, addresses.clone(), &recorder)).transpose()?;
+        (0..plan.day.managers).map(|number| plan.day.zones[number % plan.day.zones.len()].clone()).collect();
+    let addresses = (0..zones.len()).map(free_address).collect::<Result<Vec<_>, _>>()?;
+    let network =
+        plan.members.then(|| MemberNetwork::start(plan, addresses.clone(), &recorder)).transpose()?;
     let mut managers = Vec::new();
     for (number, zone) in zones.iter().enumerate() {
         let address = addresses[number];
-        let members = gossip.as_ref().and_then(|it| member(it, number, address));
+        let members = network.as_ref().and_then(|network| member_settings(network, number, address));
         let mut terms = plan.terms.clone();
         terms.manager = ManagerIndex(number as u64);
         terms.zone = zone.as_str().into();
@@ -79,81 +94,87 @@
             list: &fleet.lists[number].to_string(),
             keys: "keys",
             grace: plan.drain_grace,
-            list_wait: Ms(2_000.0),
-            silence: Ms(3_000.0),
+            list_wait: LIST_WAIT,
+            silence: SERVER_SILENCE,
             cores: options.cores,
             members: members.as_ref(),
             council: None,
             releases: None,
         };
         let file = folder.join(format!("manager-{number}.ini"));
-        fs::write(&file, write_manager(&terms, &local)).map_err(at(file))?;
-        let child = stage.start(number, 0)?;
-        managers.push(Manager { number, address, child, lives: 1, unclean: None });
+        fs::write(&file, write_manager(&terms, &local)).map_err(file_error(file))?;
+        let process = launcher.start(number, 0)?;
+        managers.push(Manager { number, address, process, starts: 1, unclean: None });
     }
-    let played = managers.iter().try_for_each(|it| wait_ready(it.address, START, interrupted)).map(|()| {
-        managers.iter().for_each(|it| recorder.note(Event::ManagerReady { manager: it.number }));
-        rest(plan, &managers, &recorder, interrupted);
-        let costs = managers.iter().map(|it| cost(it.child.id())).collect::<Vec<_>>();
-        let began = clock.now() + 200.0;
-        _ = go.send_blocking(began);
-        let over = Arc::new(AtomicBool::new(false));
-        if let Some(gossip) = &gossip {
-            gossip.begin(clock.instant(began));
-            follow(plan, addresses.clone(), clock.instant(began), &recorder, over.clone());
+    let all_ready =
+        managers.iter().try_for_each(|manager| wait_ready(manager.address, START_TIMEOUT, interrupted));
+    let played = all_ready.map(|()| {
+        managers.iter().for_each(|manager| recorder.note(Event::ManagerReady { manager: manager.number }));
+        measure_rest(plan, &managers, &recorder, interrupted);
+        let costs = managers.iter().map(|manager| cost(manager.process.id())).collect::<Vec<_>>();
+        let began = clock.now() + START_DELAY_MS;
+        _ = start_sender.send_blocking(began);
+        let day_over = Arc::new(AtomicBool::new(false));
+        if let Some(network) = &network {
+            network.begin(clock.instant(began));
+            let (managers, began) = (addresses.clone(), clock.instant(began));
+            record_views_after_faults(plan, managers, began, &recorder, day_over.clone());
         }
         let crowd = Crowd {
             day: plan.day.clone(),
             recorder: recorder.clone(),
-            managers: managers.iter().map(|it| it.address).collect(),
+            managers: managers.iter().map(|manager| manager.address).collect(),
             zones,
             sockets: [vec![fleet.list], fleet.servers.clone()].concat(),
             behind: fleet.behind.clone(),
             began,
         };
         let players = std::thread::spawn({
-            let over = over.clone();
+            let day_over = day_over.clone();
             move || {
                 run_players(crowd, PLAY_OUT);
-                over.store(true, Ordering::Release);
+                day_over.store(true, Ordering::Release);
             }
         });
-        trouble(plan, &stage, &recorder, clock.instant(began), &mut managers, (&over, interrupted));
+        let stop = StopFlags { day_over: &day_over, interrupted };
+        run_manager_faults(plan, &launcher, &recorder, clock.instant(began), &mut managers, &stop);
         if !interrupted.load(Ordering::Acquire) {
             _ = players.join();
-            spent(&managers, &costs, &recorder);
+            record_cpu_time(&managers, &costs, &recorder);
             if plan.members {
-                ask(&addresses, true, &recorder);
+                record_views(&addresses, true, &recorder);
             }
         }
     });
     if interrupted.load(Ordering::Acquire) {
-        // Those that are dropped are killed.
+        // Dropping a manager kills its process.
         drop(managers);
         return Err(RehearseError::Interrupted);
     }
-    for it in &mut managers {
-        it.child.signal(Signal::CONT);
-        it.child.signal(Signal::TERM);
+    for manager in &mut managers {
+        manager.process.signal(Signal::CONT);
+        manager.process.signal(Signal::TERM);
     }
-    let unclean =
-        managers.iter_mut().filter_map(|it| wait_end(it, ENDS).or(it.unclean.take())).collect::<Vec<_>>();
+    let unclean = managers
+        .iter_mut()
+        .filter_map(|manager| wait_for_exit(manager, EXIT_TIMEOUT).or(manager.unclean.take()))
+        .collect::<Vec<_>>();
     fleet.stop();
-    recorder.close().map_err(|it| unwritten(&traffic, it.to_string()))?;
+    recorder.close().map_err(|error| traffic_error(&traffic, error.to_string()))?;
     played?;
     if !unclean.is_empty() {
         return Err(RehearseError::UncleanExits { exits: unclean });
     }
     if let Some(record) = &options.record {
-        gather(&stage, &managers, record)?;
+        merge_records(&launcher, &managers, record)?;
         let file = format!("{}.keys", record.display());
-        fs::write(&file, &keys_text).map_err(at(file))?;
+        fs::write(&file, &keys_text).map_err(file_error(file))?;
     }
     Ok(judge_traffic(&traffic, options.report.as_deref())?)
 }
 
-/// A manager takes datagrams at its own address, as it does connections.
-fn member(gossip: &Gossip, number: usize, address: SocketAddr) -> Option<Members> {
+/// A manager's settings as a member. It receives datagrams on the same address as connections.
+fn member_settings(network: &MemberNetwork, number: usize, address: SocketAddr) -> Option<Members> {
     let SocketAddr::V4(listen) = address else {
         return None;
     };
@@ -161,13 +182,13 @@
         name: format!("manager-{number}"),
         cluster: "rehearsal".into(),
         listen,
-        advertise: *gossip.there.get(number)?,
-        seeds: gossip.there.iter().take(SEEDS).copied().collect(),
+        advertise: *network.addresses.get(number)?,
+        seeds: network.addresses.iter().take(SEEDS).copied().collect(),
         keys: "keys".into(),
-        period: MEMBERS_PERIOD,
+        period: MEMBER_PERIOD,
     })
 }
 
-fn unwritten(file: &Path, cause: String) -> RehearseError {
+fn traffic_error(file: &Path, cause: String) -> RehearseError {
     RehearseError::WriteTraffic { file: file.to_path_buf(), cause }
 }
--- a/daemon/src/settings/council.rs
+++ b/daemon/src/settings/council.rs
@@ -1,64 +1,68 @@
-//! `[council]`: which members keep what all agree on, and how the whole is cut into slots. Off unless told.
+//! `[council]`: the members that replicate the fleet's agreed state, and the slots that are divided among all
+//! members. Optional.
 
 use super::ini_file::IniFile;
-use super::members::{short, Members, LETTERS, LONGEST_NAME};
+use super::members::{is_valid_name, Members, MAX_NAME_LENGTH, NAME_CHARACTERS};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// The same in every member's file, but for `store`.
+/// The settings of the council. All but `store` are the same for every member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Council {
-    /// Names of members.
+    /// Names of the members that are councillors.
     pub councillors: Vec<String>,
-    /// The file of a councillor; none with the others.
+    /// The file that a councillor stores its state in; `None` for other members.
     pub store: Option<PathBuf>,
-    /// Slots that the whole is cut into; the first to be founded stays.
+    /// Number of slots. The value at the council's founding stays in force.
     pub slots: u16,
+    /// Duration of a slot's lease, in milliseconds.
     pub lease_ms: u32,
+    /// Bound on the drift between members' clocks, in parts per million.
     pub drift_ppm: u32,
 }
 
-/// With 1, 2 or 3 of them lost the others are a majority yet.
-const COUNTS: [usize; 3] = [3, 5, 7];
+/// Allowed numbers of councillors. With these, 1, 2 or 3 of them may fail and the others are a majority.
+const COUNCILLOR_COUNTS: [usize; 3] = [3, 5, 7];
 
-/// `None` if there is no such section, or if it can't be followed: then a problem says cause.
+/// Reads `[council]`. `None` if the section is missing, or if there are no members; then a problem is added.
 pub(super) fn council(ini: &IniFile, folder: &Path, members: Option<&Members>) -> Option<Council> {
-    let it = ini.optional_section("council")?;
-    let text = it.text("councillors");
+    let section = ini.optional_section("council")?;
+    let text = section.text("councillors");
     let councillors: Vec<String> =
-        text.split(',').map(str::trim).filter(|it| !it.is_empty()).map(str::to_string).collect();
-    let different: BTreeSet<&String> = councillors.iter().collect();
-    if let Some(odd) = councillors.iter().find(|it| !short(it)) {
-        let rule = format!("expected names of up to {LONGEST_NAME} of {LETTERS}, read {odd:?}");
-        it.add_problem("councillors", rule);
-    } else if !COUNTS.contains(&councillors.len()) || different.len() < councillors.len() {
-        let rule = format!("expected 3, 5 or 7 different names, read {text:?}");
-        it.add_problem("councillors", rule);
+        text.split(',').map(str::trim).filter(|name| !name.is_empty()).map(str::to_string).collect();
+    let distinct: BTreeSet<&String> = councillors.iter().collect();
+    if let Some(invalid) = councillors.iter().find(|name| !is_valid_name(name)) {
+        let message =
+            format!("expected names of up to {MAX_NAME_LENGTH} of {NAME_CHARACTERS}, read {invalid:?}");
+        section.add_problem("councillors", message);
+    } else if !COUNCILLOR_COUNTS.contains(&councillors.len()) || distinct.len() < councillors.len() {
+        let message = format!("expected 3, 5 or 7 different names, read {text:?}");
+        section.add_problem("councillors", message);
     }
-    let store = it.get("store").filter(|it| !it.is_empty()).map(|it| folder.join(it));
+    let store = section.get("store").filter(|path| !path.is_empty()).map(|path| folder.join(path));
     let council = Council {
-        slots: it.whole_or("slots", 32..=512, 64) as u16,
-        lease_ms: it.whole_or("lease-ms", 500..=600_000, 10_000) as u32,
-        drift_ppm: it.whole_or("drift-ppm", 0..=100_000, 1_000) as u32,
+        slots: section.whole_or("slots", 32..=512, 64) as u16,
+        lease_ms: section.whole_or("lease-ms", 500..=600_000, 10_000) as u32,
+        drift_ppm: section.whole_or("drift-ppm", 0..=100_000, 1_000) as u32,
         councillors,
         store,
     };
     let Some(members) = members else {
-        // One that is there and wrong has its own problems.
+        // An invalid [members] section has problems of its own.
         if ini.optional_section("members").is_some() {
             return None;
         }
-        let rule = "[council] needs [members]; write that section too, or take this one out";
-        it.add_problem("councillors", rule);
+        let message = "[council] needs [members]; write that section too, or take this one out";
+        section.add_problem("councillors", message);
         return None;
     };
     match (council.councillors.contains(&members.name), &council.store) {
         (true, None) => {
-            it.add_problem("store", "a councillor needs store = FILE for what it promises to the others")
+            section.add_problem("store", "a councillor needs store = FILE for what it promises to the others")
         }
         (false, Some(_)) => {
-            let rule = format!("{} is no councillor and keeps nothing; take store out", members.name);
-            it.add_problem("store", rule);
+            let message = format!("{} is no councillor and keeps nothing; take store out", members.name);
+            section.add_problem("store", message);
         }
         _ => {}
     }
@@ -83,28 +87,28 @@
     fn read(text: &str, me: Option<&str>) -> (Option<Council>, Result<(), SettingsError>) {
         let ini = IniFile::read("m.ini", text);
         let members = me.map(member);
-        (council(&ini, Path::new("folder"), members.as_ref()), ini.end())
+        (council(&ini, Path::new("folder"), members.as_ref()), ini.finish())
     }
 
     #[test]
-    fn off_unless_told() {
-        let (it, end) = read("", Some("m-0"));
-        assert!(it.is_none() && end.is_ok());
+    fn without_the_section_there_is_no_council() {
+        let (section, result) = read("", Some("m-0"));
+        assert!(section.is_none() && result.is_ok());
     }
 
     #[test]
-    fn what_is_not_said_is_filled_in_and_what_is_said_is_read() {
-        let (it, end) = read(FILE, Some("m-1"));
-        end.unwrap();
-        let it = it.unwrap();
-        assert_eq!((it.slots, it.lease_ms, it.drift_ppm), (64, 10_000, 1_000));
-        assert_eq!(it.store.as_deref(), Some(Path::new("folder/c")));
+    fn missing_keys_have_defaults_and_others_are_read() {
+        let (section, result) = read(FILE, Some("m-1"));
+        result.unwrap();
+        let section = section.unwrap();
+        assert_eq!((section.slots, section.lease_ms, section.drift_ppm), (64, 10_000, 1_000));
+        assert_eq!(section.store.as_deref(), Some(Path::new("folder/c")));
         let more = "[council]\ncouncillors = a,b,c,d,e\nslots = 32\nlease-ms = 2000\ndrift-ppm = 5\n";
-        let (it, end) = read(more, Some("m-1"));
-        end.unwrap();
-        let it = it.unwrap();
-        assert_eq!((it.slots, it.lease_ms, it.drift_ppm, it.store), (32, 2_000, 5, None));
-        assert_eq!(it.councillors, ["a", "b", "c", "d", "e"]);
+        let (section, result) = read(more, Some("m-1"));
+        result.unwrap();
+        let section = section.unwrap();
+        assert_eq!((section.slots, section.lease_ms, section.drift_ppm, section.store), (32, 2_000, 5, None));
+        assert_eq!(section.councillors, ["a", "b", "c", "d", "e"]);
     }
 
     #[test_case("m-0, m-1, m-2", "m-0, m-1", "m.ini:2: councillors: expected 3, 5 or 7"; "an even count")]
@@ -115,14 +119,14 @@
     #[test_case("store = c", "store = c\nslots = 9", "slots: expected a whole number from 32"; "few slots")]
     #[test_case("store", "stor", "stor is not known in [council]; did you mean store?"; "a key")]
     #[test_case("[council]", "[counsil]", "did you mean [council]?"; "a heading")]
-    fn what_is_wrong_is_told_with_its_line(was: &str, becomes: &str, expected: &str) {
-        let told = read(&FILE.replace(was, becomes), Some("m-0")).1.unwrap_err().to_string();
-        assert!(told.contains(expected), "{told}");
+    fn problems_are_reported_with_their_line(was: &str, becomes: &str, expected: &str) {
+        let error = read(&FILE.replace(was, becomes), Some("m-0")).1.unwrap_err().to_string();
+        assert!(error.contains(expected), "{error}");
     }
 
     #[test]
-    fn without_members_there_is_no_council() {
-        let told = read(FILE, None).1.unwrap_err().to_string();
-        assert!(told.contains("m.ini:2: councillors: [council] needs [members]"), "{told}");
+    fn a_council_needs_members() {
+        let error = read(FILE, None).1.unwrap_err().to_string();
+        assert!(error.contains("m.ini:2: councillors: [council] needs [members]"), "{error}");
     }
 }
--- a/daemon/src/settings/day.rs
+++ b/daemon/src/settings/day.rs
@@ -1,10 +1,10 @@
-//! A day's settings: the terms that its managers share, the fleet, the viewers, and what goes wrong.
+//! The settings file of a day: the terms that the managers share, the fleet, the viewers and the faults.
 
 use super::error::SettingsError;
 use super::fault::faults;
 use super::ini_file::{IniFile, Section};
 use super::load;
-use super::terms::terms;
+use super::terms::{terms, ManagerIdentity};
 use ottersail::config::{PlacementConfig, RequestSemantics};
 use ottersail::time::Ms;
 use ottersail_fake_servers::{Day, DayPackage, TITLE_STRIDE};
@@ -12,46 +12,49 @@
 use ottersail_invariants::record::{Even, PackageTerms, Shapes, Terms as JudgeTerms, Titles};
 use std::path::Path;
 
-/// A day, and the terms of its managers but for number and zone.
+/// A day, and the terms of its managers. Each manager replaces the number and the zone with its own.
 #[derive(Clone, Debug)]
 pub struct DayPlan {
     pub day: Day,
     pub terms: PlacementConfig,
+    /// How long a draining server keeps accepting set-ups that are in flight.
     pub drain_grace: Ms,
-    /// What managers of two shapes may differ by.
+    /// By which factor the figures of managers with and without probes may differ.
     pub shapes_factor: f64,
-    /// Before the viewers come, the managers are watched at rest for so long.
+    /// How long the managers' costs are measured at rest, before the first viewers come.
     pub rest: Ms,
-    /// How even it has to be, where that is told.
+    /// The limits on uneven load, if the day has any.
     pub even: Option<Even>,
-    /// The managers pick plainly, for comparison; and all by the same chance.
+    /// The baseline policy that managers use, for comparison.
     pub pick: Option<Pick>,
+    /// Whether all managers use the same seed.
     pub one_seed: bool,
-    /// The managers know one another as members.
+    /// Whether the managers are members of one cluster.
     pub members: bool,
 }
 
-/// Reads the file of a day.
+/// Reads and parses a day's file.
 ///
 /// # Errors
-/// If it can't be read, or every problem, each with file and line.
+/// If the file can't be read, or with all of its problems.
 pub fn load_day(path: &Path) -> Result<DayPlan, SettingsError> {
     parse_day(path, &load(path)?)
 }
 
-/// Reads a day's file as text.
+/// Parses the text of a day's file. `path` is the file's path.
 ///
 /// # Errors
-/// Every problem, each with file and line.
+/// All problems of the file.
 pub fn parse_day(path: &Path, text: &str) -> Result<DayPlan, SettingsError> {
-    plan(&IniFile::read(&path.display().to_string(), text))
+    read_plan(&IniFile::read(&path.display().to_string(), text))
 }
 
-pub(super) fn plan(ini: &IniFile) -> Result<DayPlan, SettingsError> {
+/// Reads all sections of a day's file.
+pub(super) fn read_plan(ini: &IniFile) -> Result<DayPlan, SettingsError> {
     let (day, fleet, players) = (ini.section("day"), ini.section("fleet"), ini.section("players"));
     let managers = fleet.whole("managers", 1..=1000);
     let zones: Vec<String> = fleet.text("zones").split(',').map(|it| it.trim().to_string()).collect();
-    let terms = terms(ini, (0, managers, &zones[0]));
+    let terms = terms(ini, &ManagerIdentity { number: 0, managers, zone: &zones[0] });
     let rules = ini.section("rules");
     let drain_grace = rules.number("drain-grace-ms", 1.0..=3.6e6);
     let worth = players.numbers("worth", 0.0..=1.0);
@@ -140,7 +143,7 @@
         fleet.add_problem("members", "must be yes: there are faults on what members send");
     }
     let shapes_factor = fleet.number_or("shapes-factor", 1.0..=100.0, 2.0);
-    ini.end()?;
+    ini.finish()?;
     Ok(DayPlan {
         day,
         terms,
@@ -155,7 +158,7 @@
 }
 
 impl DayPlan {
-    /// What the day is judged by.
+    /// The terms that the day is judged by.
     pub fn judge_terms(&self) -> JudgeTerms {
         let terms = &self.terms;
         let package = |it: &ottersail::config::Package| {
--- a/daemon/src/settings/error.rs
+++ b/daemon/src/settings/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a settings file, and where.
+//! Errors in settings files, with the file and the line of each.
 
 use super::sections;
 use std::fmt;
@@ -6,49 +6,49 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Settings that can't be had.
+/// Settings that can't be read or are invalid.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     #[error("{}: {cause}; name a settings file that this user may read", file.display())]
     Unreadable { file: PathBuf, cause: io::Error },
-    #[error("{}: over {max_bytes} bytes; name an orders' file, or take out what is none of it", file.display())]
+    #[error("{}: over {max_bytes} bytes; name an orders' file, or take out what does not belong in it", file.display())]
     TooLong { file: PathBuf, max_bytes: u64 },
-    /// All that is wrong with the file, by line.
-    #[error("{}", lines(problems))]
+    /// All problems of the file, ordered by line.
+    #[error("{}", join_lines(problems))]
     Invalid { problems: Vec<Problem> },
 }
 
 impl SettingsError {
-    /// All problems as one text, set apart.
-    pub fn join(&self, between: &str) -> String {
+    /// All problems as one text, joined by `separator`.
+    pub fn join(&self, separator: &str) -> String {
         match self {
             SettingsError::Invalid { problems } => {
-                problems.iter().map(Problem::to_string).collect::<Vec<_>>().join(between)
+                problems.iter().map(Problem::to_string).collect::<Vec<_>>().join(separator)
             }
             SettingsError::Unreadable { .. } | SettingsError::TooLong { .. } => self.to_string(),
         }
     }
 }
 
-/// One line for each problem.
+/// One text for each problem.
 impl From<SettingsError> for Vec<String> {
-    fn from(it: SettingsError) -> Vec<String> {
-        match it {
+    fn from(error: SettingsError) -> Vec<String> {
+        match error {
             SettingsError::Invalid { problems } => problems.iter().map(Problem::to_string).collect(),
-            SettingsError::Unreadable { .. } | SettingsError::TooLong { .. } => vec![it.to_string()],
+            SettingsError::Unreadable { .. } | SettingsError::TooLong { .. } => vec![error.to_string()],
         }
     }
 }
 
-fn lines(problems: &[Problem]) -> String {
+fn join_lines(problems: &[Problem]) -> String {
     problems.iter().map(Problem::to_string).collect::<Vec<_>>().join("\n")
 }
 
-/// One thing that is wrong.
+/// One problem of a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub struct Problem {
     pub file: String,
-    /// From 1; none where it is about the file as a whole.
+    /// The line, counted from 1; `None` if the problem is about the file as a whole.
     pub line: Option<usize>,
     pub kind: ProblemKind,
 }
@@ -62,7 +62,7 @@
     }
 }
 
-/// What is wrong at a place of a settings file.
+/// What is wrong in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ProblemKind {
     #[error("[{name}] is there already, at line {first_line}; write the keys of both under one heading")]
@@ -71,7 +71,7 @@
     DuplicateKey { key: String, first_line: usize },
     #[error("{key} stands before the first [section]; write it under the heading it belongs to")]
     KeyOutsideSection { key: String },
-    #[error("{text:?} has no value; write key = value, or ; before a remark")]
+    #[error("{text:?} has no value; write key = value, or ; before a comment")]
     MissingValue { text: String },
     #[error("{text:?} is no heading; write [name]")]
     MalformedHeading { text: String },
@@ -79,33 +79,33 @@
     MissingSection { name: String },
     #[error("[{section}] lacks {key}; expected {expected}")]
     MissingKey { section: String, key: String, expected: String },
-    #[error("[{name}] is not known here; {}", instead(suggestion.as_ref().map(|it| format!("[{it}]")), name))]
+    #[error("[{name}] is not known here; {}", remedy(suggestion.as_ref().map(|near| format!("[{near}]")), name))]
     UnknownSection { name: String, suggestion: Option<String> },
-    #[error("{key} is not known in [{section}]; {}", instead(suggestion.clone(), ""))]
+    #[error("{key} is not known in [{section}]; {}", remedy(suggestion.clone(), ""))]
     UnknownKey { section: String, key: String, suggestion: Option<String> },
     #[error("{key}: expected {expected}, read {value:?}")]
     InvalidValue { section: String, key: String, expected: String, value: String },
-    /// A rule between keys, told by who reads them.
+    /// A rule about a key's value, or between keys, that is not met.
     #[error("{key}: {message}")]
     RuleViolation { section: String, key: String, message: String },
-    /// About no single key.
+    /// A problem that is not about a single key.
     #[error("{message}")]
     General { message: String },
 }
 
-fn instead(suggestion: Option<String>, section: &str) -> String {
-    let elsewhere = sections::files(section);
-    match (elsewhere, suggestion) {
+fn remedy(suggestion: Option<String>, section: &str) -> String {
+    let other_files = sections::files_of(section);
+    match (other_files, suggestion) {
         (Some(files), _) => format!("it belongs in {files}"),
         (None, Some(suggestion)) => format!("did you mean {suggestion}?"),
         (None, None) => "take it out, or write ; before it".into(),
     }
 }
 
-/// Of the names that are known the one that may have been meant: at most a third of its letters are other
-/// ones.
+/// The known name that is closest to `name`, if at most a third of its letters differ.
 pub(super) fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
-    let far = |it: &str| strsim::damerau_levenshtein(name, it);
-    let near = |it: &&str| far(it) * 3 <= it.chars().count().max(name.chars().count());
-    known.into_iter().filter(near).min_by_key(|it| far(it))
+    let distance = |candidate: &str| strsim::damerau_levenshtein(name, candidate);
+    let is_close =
+        |candidate: &&str| distance(candidate) * 3 <= candidate.chars().count().max(name.chars().count());
+    known.into_iter().filter(is_close).min_by_key(|candidate| distance(candidate))
 }
--- a/daemon/src/settings/links.rs
+++ b/daemon/src/settings/links.rs
@@ -1,32 +1,40 @@
-//! `[list]` and `[servers]`: how a manager reaches the list and the servers.
+//! `[list]` and `[servers]`: the connections to the discovery service and the servers.
 
 use super::ini_file::IniFile;
-use super::SPAN;
+use super::DURATION_RANGE_MS;
 use ottersail::time::Ms;
 
-/// Addresses, and times in milliseconds.
+/// How a manager reaches the discovery service and the servers.
 #[derive(Clone, Debug)]
 pub struct Links {
-    /// `host:port`.
+    /// Address of the discovery service, `host:port`.
     pub list: String,
+    /// Name of the streaming servers' service in the list.
     pub service: String,
+    /// How long the discovery service may hold a request until something changes.
     pub list_wait: Ms,
+    /// Pause after a failed request for the list.
     pub list_retry: Ms,
+    /// Limit for opening a connection to a server.
     pub connect: Ms,
+    /// A server that sends nothing for this long is lost.
     pub silence: Ms,
+    /// A set-up that is not sent within this time of its decision is not sent at all.
     pub send_within: Ms,
+    /// How long a server may take to confirm the end of a viewing.
     pub linger: Ms,
 }
 
-/// What is sent to a server must be there before a drain's grace is over.
+/// Reads `[list]` and `[servers]`. What is sent to a server must arrive before the drain's grace is over, so
+/// connecting and sending together must take less time than that.
 pub(super) fn links(ini: &IniFile) -> Links {
     let (list, servers) = (ini.section("list"), ini.section("servers"));
-    let grace = ini.section("rules").number("drain-grace-ms", SPAN);
-    let send_within = servers.number_or("send-within-ms", SPAN, grace / 4.0);
+    let grace = ini.section("rules").number("drain-grace-ms", DURATION_RANGE_MS);
+    let send_within = servers.number_or("send-within-ms", DURATION_RANGE_MS, grace / 4.0);
     if send_within >= grace {
         servers.add_problem("send-within-ms", format!("must be under the drain grace of {grace} ms"));
     }
-    let connect = servers.number_or("connect-ms", SPAN, 250.0_f64.min(grace / 4.0));
+    let connect = servers.number_or("connect-ms", DURATION_RANGE_MS, 250.0_f64.min(grace / 4.0));
     if connect + send_within >= grace {
         servers.add_problem(
             "connect-ms",
@@ -41,6 +49,6 @@
         connect: Ms(connect),
         silence: Ms(servers.number_or("silence-ms", 200.0..=120_000.0, 3_000.0)),
         send_within: Ms(send_within),
-        linger: Ms(servers.number_or("linger-ms", SPAN, 1_000.0)),
+        linger: Ms(servers.number_or("linger-ms", DURATION_RANGE_MS, 1_000.0)),
     }
 }
--- a/daemon/src/settings/manager.rs
+++ b/daemon/src/settings/manager.rs
@@ -1,75 +1,81 @@
-//! A manager's settings; `[manager]` itself is read here.
+//! The settings file of a manager, and its section `[manager]`.
 
 use super::council::{council, Council};
 use super::error::SettingsError;
 use super::ini_file::{IniFile, Section};
 use super::links::{links, Links};
-use super::members::{members, short, Members, LETTERS, LONGEST_NAME};
+use super::members::{is_valid_name, members, Members, MAX_NAME_LENGTH, NAME_CHARACTERS};
 use super::releases::{releases, Releases};
-use super::terms::terms;
+use super::terms::{terms, ManagerIdentity};
 use ottersail::config::PlacementConfig;
 use std::path::{Path, PathBuf};
 
-/// All that a manager reads from its file. Times are in milliseconds.
+/// All settings of a manager.
 #[derive(Clone, Debug)]
 pub struct ManagerSettings {
     pub terms: PlacementConfig,
+    /// The address that players connect to, `host:port`.
     pub listen: String,
+    /// The URL that players reach this manager by.
     pub url: String,
+    /// File with the keys that sign playlist addresses.
     pub keys: PathBuf,
+    /// How long a playlist address is valid, in seconds.
     pub ticket_s: u64,
+    /// Most requests that wait for an answer.
     pub most_waiting: usize,
+    /// Most viewers that watch.
     pub most_watches: usize,
+    /// Most connections from players.
     pub connections: usize,
-    /// Threads that hold connections; the first owns placement too.
+    /// Number of threads that hold connections. The first one is the placement owner too.
     pub cores: usize,
     pub links: Links,
-    /// Off unless told.
     pub members: Option<Members>,
-    /// Off unless told; only with members.
+    /// Only with members.
     pub council: Option<Council>,
-    /// Off unless told; only with members and council.
+    /// Only with members and a council.
     pub releases: Option<Releases>,
 }
 
-/// Reads a manager's file.
+/// Parses the text of a manager's settings file. `path` is the file's path.
 ///
 /// # Errors
-/// Every problem, each with file and line.
+/// All problems of the file.
 pub fn parse_manager(path: &Path, text: &str) -> Result<ManagerSettings, SettingsError> {
     let ini = IniFile::read(&path.display().to_string(), text);
-    manager(&ini, path.parent().unwrap_or(Path::new(".")))
+    read_manager(&ini, path.parent().unwrap_or(Path::new(".")))
 }
 
-/// `folder` is where the settings lie, and files that they name.
-pub(super) fn manager(ini: &IniFile, folder: &Path) -> Result<ManagerSettings, SettingsError> {
-    let me = ini.section("manager");
-    let number = me.whole("number", 0..=1_000_000);
-    let managers = me.whole("managers", 1..=1_000_000);
+/// Reads all sections of a manager's file. Paths in the settings are relative to `folder`.
+pub(super) fn read_manager(ini: &IniFile, folder: &Path) -> Result<ManagerSettings, SettingsError> {
+    let section = ini.section("manager");
+    let number = section.whole("number", 0..=1_000_000);
+    let managers = section.whole("managers", 1..=1_000_000);
     if number >= managers {
-        me.add_problem("number", format!("counts from 0 and must be under managers, {managers}"));
+        section.add_problem("number", format!("counts from 0 and must be under managers, {managers}"));
     }
     let members = members(ini, folder, number);
     let council = council(ini, folder, members.as_ref());
     let releases = releases(ini, folder, (members.as_ref(), council.as_ref()));
-    let zone = me.text("zone");
-    if members.is_some() && !short(&zone) {
-        me.add_problem(
+    let zone = section.text("zone");
+    if members.is_some() && !is_valid_name(&zone) {
+        section.add_problem(
             "zone",
-            format!("with [members] expected up to {LONGEST_NAME} of {LETTERS}, read {zone:?}"),
+            format!("with [members] expected up to {MAX_NAME_LENGTH} of {NAME_CHARACTERS}, read {zone:?}"),
         );
     }
-    let (mut terms, links) = (terms(ini, (number, managers, &zone)), links(ini));
+    let (mut terms, links) = (terms(ini, &ManagerIdentity { number, managers, zone: &zone }), links(ini));
     terms.cold.max_send_delay = links.send_within;
-    let listen = me.address("listen");
+    let listen = section.address("listen");
     let manager = ManagerSettings {
-        url: me.get("url").map_or_else(|| format!("http://{listen}"), str::to_string),
-        keys: folder.join(me.text("keys")),
-        ticket_s: me.whole_or("ticket-s", 10..=86_400, 600),
-        most_waiting: me.whole_or("most-waiting", 1..=1_000_000, 2_000) as usize,
-        most_watches: me.whole_or("most-watches", 1..=10_000_000, 100_000) as usize,
-        connections: me.whole_or("connections", 1..=1_000_000, 8_000) as usize,
-        cores: cores(&me),
+        url: section.get("url").map_or_else(|| format!("http://{listen}"), str::to_string),
+        keys: folder.join(section.text("keys")),
+        ticket_s: section.whole_or("ticket-s", 10..=86_400, 600),
+        most_waiting: section.whole_or("most-waiting", 1..=1_000_000, 2_000) as usize,
+        most_watches: section.whole_or("most-watches", 1..=10_000_000, 100_000) as usize,
+        connections: section.whole_or("connections", 1..=1_000_000, 8_000) as usize,
+        cores: cores(&section),
         links,
         members,
         council,
@@ -78,21 +84,22 @@
         listen,
     };
     if !manager.url.starts_with("http://") && !manager.url.starts_with("https://") {
-        me.add_problem("url", format!("expected http://host:port, read {:?}", manager.url));
+        section.add_problem("url", format!("expected http://host:port, read {:?}", manager.url));
     }
-    ini.end()?;
+    ini.finish()?;
     Ok(manager)
 }
 
-/// `auto` is as many as the machine has.
-fn cores(me: &Section) -> usize {
-    match me.get("cores") {
-        Some("auto") => std::thread::available_parallelism().map_or(1, usize::from).min(MOST_CORES as usize),
-        _ => me.whole_or("cores", 1..=MOST_CORES, 1) as usize,
+/// The number of cores; `auto` stands for as many as the machine has.
+fn cores(section: &Section) -> usize {
+    match section.get("cores") {
+        Some("auto") => std::thread::available_parallelism().map_or(1, usize::from).min(MAX_CORES as usize),
+        _ => section.whole_or("cores", 1..=MAX_CORES, 1) as usize,
     }
 }
 
-const MOST_CORES: u64 = 64;
+/// Most cores that a manager uses.
+const MAX_CORES: u64 = 64;
 
 #[cfg(test)]
 mod tests {
@@ -123,7 +130,7 @@
         "cells = 12\nworth = 0.2, 0.6, 1\njoin = 0.3\nreports-on-probe = yes\nweights-told = no";
 
     #[test]
-    fn what_is_not_said_leaves_the_shape_of_before() {
+    fn optional_terms_have_defaults() {
         let it = read(FILE).unwrap().terms;
         assert!(
             !it.reports_on_probe
@@ -135,24 +142,24 @@
     }
 
     #[test]
-    fn what_is_sent_to_a_cold_server_counts_for_as_long_as_it_may_take() {
+    fn the_cold_window_includes_the_time_to_send() {
         let text = FILE.replace("silence-ms = 3000", "silence-ms = 3000\nsend-within-ms = 120");
         assert_eq!(read(&text).unwrap().terms.cold.send_window(), Ms(2120.0));
     }
 
     #[test]
-    fn no_notes_at_all_can_be_said() {
+    fn an_interval_of_zero_turns_reports_off() {
         let it = read(&FILE.replace("reports-every-ms = 3000", "reports-every-ms = 0")).unwrap();
         assert_eq!(it.terms.report_interval, Ms(0.0));
     }
 
-    #[test_case(FILE.to_string(); "the shape of before")]
+    #[test_case(FILE.to_string(); "without optional terms")]
     #[test_case(FILE.replace("cells = 12", NEW).replace("[rules]", "[rules]\nprobes-allowed = yes")
         .replace("seats = 4", "seats = 4\nlive = yes"); "probes and shared streams")]
     #[test_case(FILE.to_string() + MEMBERS; "members")]
     #[test_case(FILE.to_string() + MEMBERS + COUNCIL; "a councillor")]
     #[test_case(FILE.to_string() + MEMBERS + COUNCIL + RELEASES; "releases")]
-    fn what_is_written_is_read_again(text: String) {
+    fn written_settings_are_read_unchanged(text: String) {
         let first = read(&text).unwrap();
         let local = LocalSettings {
             listen: "127.0.0.1:8080",
@@ -231,8 +238,8 @@
         "wait-ms", "colour", "m.ini:10: colour is not known in [list]; take it out";
         "a key like none"
     )]
-    fn contradictions_are_told(was: &str, becomes: &str, expected: &str) {
-        let told = read(&FILE.replace(was, becomes)).unwrap_err().to_string();
-        assert!(told.contains(expected), "{told}");
+    fn problems_are_reported(was: &str, becomes: &str, expected: &str) {
+        let error = read(&FILE.replace(was, becomes)).unwrap_err().to_string();
+        assert!(error.contains(expected), "{error}");
     }
 }
--- a/daemon/src/settings/members.rs
+++ b/daemon/src/settings/members.rs
@@ -1,51 +1,59 @@
-//! `[members]`: the other managers that this one knows as members of its cluster. Off unless told.
+//! `[members]`: the cluster that this manager is a member of. Optional.
 
 use super::ini_file::{IniFile, Section};
 use ottersail::time::Ms;
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 
-/// Where a manager is found by the others, and by what it knows them.
+/// A manager's settings as a member of a cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Members {
+    /// The member's name, unique within the cluster.
     pub name: String,
     pub cluster: String,
-    /// Where datagrams are taken.
+    /// The address that datagrams are received on.
     pub listen: SocketAddrV4,
-    /// Where the others send them.
+    /// The address that other members send datagrams to.
     pub advertise: SocketAddrV4,
+    /// Members to contact at the start.
     pub seeds: Vec<SocketAddrV4>,
+    /// File with the keys that sign datagrams.
     pub keys: PathBuf,
+    /// Interval between probes of other members.
     pub period: Ms,
 }
 
-/// Names go over the wire and into logs: short, and of letters that need no care there.
-pub(super) const LONGEST_NAME: usize = 32;
-pub(super) const LETTERS: &str = "a-z, 0-9 and -";
-/// Seeds are asked one after the other until one answers; more would tell nothing new.
-const MOST_SEEDS: usize = 32;
-const ADDRESS: &str = "an IPv4 address like 10.0.0.1:7946";
+/// Longest name, in characters. Names go over the wire and into logs, so they are short and need no escaping.
+pub(super) const MAX_NAME_LENGTH: usize = 32;
+/// The characters that names may have, for messages.
+pub(super) const NAME_CHARACTERS: &str = "a-z, 0-9 and -";
+/// Seeds are contacted one after another until one answers, so more of them are of no use.
+const MAX_SEEDS: usize = 32;
+/// Describes an address, for messages.
+const EXPECTED_ADDRESS: &str = "an IPv4 address like 10.0.0.1:7946";
 
+/// Reads `[members]`. `number` is the manager's number. `None` if the section is missing or its addresses are
+/// invalid.
 pub(super) fn members(ini: &IniFile, folder: &Path, number: u64) -> Option<Members> {
-    let it = ini.optional_section("members")?;
-    let own = format!("manager-{number}");
-    let name = if it.get("name").is_some() { named(&it, "name") } else { own };
-    let cluster = named(&it, "cluster");
-    let listen = address(&it, "listen", &it.text("listen"));
-    let advertise = match it.get("advertise") {
-        Some(text) => address(&it, "advertise", text),
+    let section = ini.optional_section("members")?;
+    let default_name = format!("manager-{number}");
+    let name = if section.get("name").is_some() { name(&section, "name") } else { default_name };
+    let cluster = self::name(&section, "cluster");
+    let listen = address(&section, "listen", &section.text("listen"));
+    let advertise = match section.get("advertise") {
+        Some(text) => address(&section, "advertise", text),
         None => listen,
     };
-    // Members who are told this address could not answer to it.
-    if advertise.is_some_and(|it| it.ip().is_unspecified() || it.port() == 0) {
-        let key = if it.get("advertise").is_some() { "advertise" } else { "listen" };
-        let rule = "must be one that the others can reach; write advertise = IP:PORT beside listen";
-        it.add_problem(key, rule);
+    // Other members could not send datagrams to such an address.
+    if advertise.is_some_and(|address| address.ip().is_unspecified() || address.port() == 0) {
+        let key = if section.get("advertise").is_some() { "advertise" } else { "listen" };
+        let message = "must be one that the others can reach; write advertise = IP:PORT beside listen";
+        section.add_problem(key, message);
     }
-    let texts = it.get("seeds").unwrap_or("").split(',').map(str::trim).filter(|it| !it.is_empty());
-    let seeds: Vec<SocketAddrV4> = texts.filter_map(|text| address(&it, "seeds", text)).collect();
-    if seeds.len() > MOST_SEEDS {
-        it.add_problem("seeds", format!("must be {MOST_SEEDS} at most, {} are there", seeds.len()));
+    let texts = section.get("seeds").unwrap_or("").split(',').map(str::trim).filter(|text| !text.is_empty());
+    let seeds: Vec<SocketAddrV4> = texts.filter_map(|text| address(&section, "seeds", text)).collect();
+    if seeds.len() > MAX_SEEDS {
+        section.add_problem("seeds", format!("must be {MAX_SEEDS} at most, {} are there", seeds.len()));
     }
     Some(Members {
         name,
@@ -53,32 +61,35 @@
         listen: listen?,
         advertise: advertise?,
         seeds,
-        keys: folder.join(it.text("keys")),
-        period: Ms(it.number_or("period-ms", 50.0..=60_000.0, 1_000.0)),
+        keys: folder.join(section.text("keys")),
+        period: Ms(section.number_or("period-ms", 50.0..=60_000.0, 1_000.0)),
     })
 }
 
-/// Of those letters, and not too long.
-pub(super) fn short(text: &str) -> bool {
-    let plain = |it: char| it.is_ascii_lowercase() || it.is_ascii_digit() || it == '-';
-    text.len() <= LONGEST_NAME && text.chars().all(plain)
+/// Whether a name has only `NAME_CHARACTERS` and is not too long.
+pub(super) fn is_valid_name(text: &str) -> bool {
+    let is_allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '-';
+    text.len() <= MAX_NAME_LENGTH && text.chars().all(is_allowed)
 }
 
-fn named(it: &Section, key: &str) -> String {
-    let text = it.text(key);
-    // That it is missing has been told.
-    if !short(&text) {
-        it.add_problem(key, format!("expected up to {LONGEST_NAME} of {LETTERS}, read {text:?}"));
+fn name(section: &Section, key: &str) -> String {
+    // `text` reports a missing name, and the empty text that it returns then is valid.
+    let text = section.text(key);
+    if !is_valid_name(&text) {
+        section.add_problem(
+            key,
+            format!("expected up to {MAX_NAME_LENGTH} of {NAME_CHARACTERS}, read {text:?}"),
+        );
     }
     text
 }
 
-fn address(it: &Section, key: &str, text: &str) -> Option<SocketAddrV4> {
-    let read = text.parse().ok();
-    if read.is_none() && !text.is_empty() {
-        it.add_problem(key, format!("expected {ADDRESS}, read {text:?}"));
+fn address(section: &Section, key: &str, text: &str) -> Option<SocketAddrV4> {
+    let address = text.parse().ok();
+    if address.is_none() && !text.is_empty() {
+        section.add_problem(key, format!("expected {EXPECTED_ADDRESS}, read {text:?}"));
     }
-    read
+    address
 }
 
 #[cfg(test)]
@@ -91,35 +102,38 @@
 
     fn read(text: &str) -> (Option<Members>, Result<(), SettingsError>) {
         let ini = IniFile::read("m.ini", text);
-        (members(&ini, Path::new("folder"), 7), ini.end())
+        (members(&ini, Path::new("folder"), 7), ini.finish())
     }
 
     #[test]
-    fn off_unless_told() {
-        let (it, end) = read("");
-        assert!(it.is_none() && end.is_ok());
+    fn without_the_section_there_are_no_members() {
+        let (section, result) = read("");
+        assert!(section.is_none() && result.is_ok());
     }
 
     #[test]
-    fn what_is_not_said_is_taken_from_what_is() {
-        let (it, end) = read(FILE);
-        end.unwrap();
-        let it = it.unwrap();
-        assert_eq!((it.name.as_str(), it.cluster.as_str(), it.period), ("manager-7", "east", Ms(1_000.0)));
-        assert_eq!((it.advertise, it.seeds.len()), (it.listen, 0));
-        assert_eq!(it.keys, Path::new("folder/m"));
+    fn missing_keys_have_defaults() {
+        let (section, result) = read(FILE);
+        result.unwrap();
+        let section = section.unwrap();
+        assert_eq!(
+            (section.name.as_str(), section.cluster.as_str(), section.period),
+            ("manager-7", "east", Ms(1_000.0))
+        );
+        assert_eq!((section.advertise, section.seeds.len()), (section.listen, 0));
+        assert_eq!(section.keys, Path::new("folder/m"));
     }
 
     #[test]
-    fn all_of_it_is_read() {
+    fn all_keys_are_read() {
         let more = "name = a-1\nadvertise = 127.0.0.9:1\nseeds = 127.0.0.2:2, 127.0.0.3:3\nperiod-ms = 200\n";
-        let (it, end) = read(&format!("{FILE}{more}"));
-        end.unwrap();
-        let it = it.unwrap();
-        assert_eq!((it.name.as_str(), it.period), ("a-1", Ms(200.0)));
-        assert_eq!(it.advertise.to_string(), "127.0.0.9:1");
+        let (section, result) = read(&format!("{FILE}{more}"));
+        result.unwrap();
+        let section = section.unwrap();
+        assert_eq!((section.name.as_str(), section.period), ("a-1", Ms(200.0)));
+        assert_eq!(section.advertise.to_string(), "127.0.0.9:1");
         assert_eq!(
-            it.seeds.iter().map(|it| it.to_string()).collect::<Vec<_>>(),
+            section.seeds.iter().map(|it| it.to_string()).collect::<Vec<_>>(),
             ["127.0.0.2:2", "127.0.0.3:3"]
         );
     }
@@ -133,8 +147,8 @@
     #[test_case("keys = m", "keys = m\nperiod-ms = 5", "period-ms: expected a number from 50"; "too quick")]
     #[test_case("keys = m", "keys = m\nseed = x", "seed is not known in [members]; did you mean seeds?"; "a key")]
     #[test_case("[members]", "[member]", "[member] is not known here; did you mean [members]?"; "a heading")]
-    fn what_is_wrong_is_told_with_its_line(was: &str, becomes: &str, expected: &str) {
-        let told = read(&FILE.replace(was, becomes)).1.unwrap_err().to_string();
-        assert!(told.contains(expected), "{told}");
+    fn problems_are_reported_with_their_line(was: &str, becomes: &str, expected: &str) {
+        let error = read(&FILE.replace(was, becomes)).1.unwrap_err().to_string();
+        assert!(error.contains(expected), "{error}");
     }
 }
--- a/daemon/src/settings/mod.rs
+++ b/daemon/src/settings/mod.rs
@@ -1,5 +1,4 @@
-//! Settings files: INI, read with their lines so that every problem tells where it belongs. Which sections
-//! there are is listed in [`sections`].
+//! Settings files in INI format. Every problem is reported with its line. [`sections`] lists all sections.
 
 pub mod council;
 pub mod day;
@@ -20,7 +19,7 @@
 use error::SettingsError;
 use std::path::Path;
 
-/// The text of a settings file.
+/// Reads the text of a settings file.
 ///
 /// # Errors
 /// If it can't be read.
@@ -29,5 +28,5 @@
         .map_err(|cause| SettingsError::Unreadable { file: file.to_path_buf(), cause })
 }
 
-/// Times that are told in milliseconds: up to an hour.
-const SPAN: std::ops::RangeInclusive<f64> = 1.0..=3.6e6;
+/// Range of durations in milliseconds: up to an hour.
+const DURATION_RANGE_MS: std::ops::RangeInclusive<f64> = 1.0..=3.6e6;
--- a/daemon/src/settings/orders/tests.rs
+++ b/daemon/src/settings/orders/tests.rs
@@ -1,18 +1,18 @@
-//! Orders' files that say all, little, nothing and the wrong thing.
+//! Orders' files that are complete, short, empty and invalid.
 
 use super::*;
 use std::collections::BTreeMap;
 use test_case::test_case;
 
 const FULL: &str =
-    "; a remark\n[release spring]\nserial = 12\nwho = zone east\nversion = 2.0\nbefore = 1.9\n\
+    "; a comment\n[release spring]\nserial = 12\nwho = zone east\nversion = 2.0\nbefore = 1.9\n\
     steps = one, 5, 5%, 25%, all\nsettle-ms = 30000\nuse-ms = 5000\nfleet = 40\nmost-out = 3\n\
     zones = east 20 2, west 20 2\nhalt-by = order\nalarms = 0.5%\npoints = 3\nstate = back\n\
     strike = m-9, m-7\n[drain racks]\nserial = 4\nwho = part 12.5%\nsteps = all\n\
     settle-ms = 60000\nfleet = 90\nmost-out = 5\nleast-holders = 2\nheadroom = 7.5%\nstate = halt\n";
 
 fn read(text: &str) -> Result<Orders, SettingsError> {
-    read_orders(Path::new("o.ini"), text)
+    parse_orders(Path::new("o.ini"), text)
 }
 
 fn named(text: &str) -> Name {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn all_of_it_is_read() {
+fn all_keys_are_read() {
     let Orders { release, drain } = read(FULL).unwrap();
     let zones = BTreeMap::from([(named("east"), (20, 2)), (named("west"), (20, 2))]);
     let steps =
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn what_is_not_said_is_filled_in() {
+fn missing_keys_have_defaults() {
     let release = "[release a]\nserial = 1\nwho = name b, a\nversion = 2\nbefore = 1\nsteps = all\n\
         settle-ms = 100\nfleet = 2\nmost-out = 1\nstate = go\n";
     let Orders { release, drain } = read(release).unwrap();
@@ -56,7 +56,7 @@
         (None, 10_000, 0, 0)
     );
     assert_eq!(release.halt_policy, HaltPolicy { by_evidence: true, alarms: 100, points: 5 });
-    // In whichever order they are written it is the same order.
+    // Names are sorted, so their order in the file does not matter.
     assert_eq!(release.scope, Scope::Named(vec![named("a"), named("b")]));
     let drain =
         "[drain a]\nserial = 1\nwho = all\nsteps = 1\nsettle-ms = 100\nfleet = 2\nmost-out = 1\nstate = go\n";
@@ -66,26 +66,26 @@
     assert_eq!((drain.version, drain.previous_version), (Name::default(), Name::default()));
 }
 
-#[test_case(FULL.to_string(); "as it is")]
-#[test_case(FULL.replace('\n', "\r\n"); "with lines of another system")]
-#[test_case(format!("\u{feff}{FULL}"); "with a mark before the first line")]
+#[test_case(FULL.to_string(); "unchanged")]
+#[test_case(FULL.replace('\n', "\r\n"); "with CRLF line ends")]
+#[test_case(format!("\u{feff}{FULL}"); "with a byte order mark")]
 #[test_case(FULL.replace("zone east", "name m-1, m-2"); "names")]
-fn what_is_written_is_read_again(text: String) {
+fn written_orders_are_read_unchanged(text: String) {
     let first = read(&text).unwrap();
     assert_eq!(read(&write_orders(&first)).unwrap(), first);
     assert!(first.release.is_some() && first.drain.is_some() && is_orders_file(&text));
 }
 
 #[test]
-fn a_halt_by_evidence_is_not_written_as_an_operators() {
+fn a_halt_by_evidence_is_not_written() {
     let first = read(&FULL.replace("state = back", "state = go")).unwrap();
     let halted = ottersail_rollout::halted_by_evidence(first.release.as_ref().unwrap());
     assert_eq!(read(&write_orders(&Orders { release: halted, ..first.clone() })).unwrap(), first);
 }
 
 #[test_case(""; "empty")]
-#[test_case("\r\n\r\n; nothing yet\r\n"; "a remark alone")]
-fn a_file_that_orders_nothing_is_no_mistake(text: &str) {
+#[test_case("\r\n\r\n; nothing yet\r\n"; "only a comment")]
+fn a_file_without_orders_is_valid(text: &str) {
     assert_eq!(read(text).unwrap(), Orders::default());
     assert!(!is_orders_file(text));
 }
@@ -133,47 +133,51 @@
 #[test_case("headroom = 7.5%", "headroom = x", "26: headroom: expected a part like 5%, in steps"; "no room")]
 #[test_case("[drain racks]", "[release summer]", "18: [release summer] is a second release, bes"; "a second")]
 #[test_case("[drain racks]", "[release spring]", "18: [release spring] is there already, at li"; "one twice")]
-fn what_is_wrong_is_told_with_its_line(was: &str, becomes: &str, expected: &str) {
+fn problems_are_reported_with_their_line(was: &str, becomes: &str, expected: &str) {
     let file = FULL.replace(was, becomes);
     assert_ne!(file, FULL);
-    let told = read(&file).unwrap_err().to_string();
-    assert!(told.lines().any(|it| it.starts_with(&format!("o.ini:{expected}"))), "{told}");
-    // Whatever ends its lines.
-    assert_eq!(read(&file.replace('\n', "\r\n")).unwrap_err().to_string(), told);
+    let error = read(&file).unwrap_err().to_string();
+    assert!(error.lines().any(|it| it.starts_with(&format!("o.ini:{expected}"))), "{error}");
+    // The same problems are reported with CRLF line ends.
+    assert_eq!(read(&file.replace('\n', "\r\n")).unwrap_err().to_string(), error);
 }
 
 #[test]
-fn an_order_that_no_register_takes_is_told_at_its_heading() {
+fn an_order_that_is_too_long_is_reported_at_its_heading() {
     let zones: Vec<String> = (10..22).map(|it| format!("{it}{} 1 1", "z".repeat(30))).collect();
     let names: Vec<String> = (0..8).map(|it| format!("{it}{}", "y".repeat(31))).collect();
     let file = FULL.replace("east 20 2, west 20 2", &zones.join(", ")).replace("fleet = 40", "fleet = 12");
-    let told = read(&file.replace("m-9, m-7", &names.join(", "))).unwrap_err().to_string();
-    assert!(told.starts_with("o.ini:2: [release spring]: an order of "), "{told}");
-    assert!(told.ends_with("600 are the most, write shorter names or fewer zones"), "{told}");
+    let error = read(&file.replace("m-9, m-7", &names.join(", "))).unwrap_err().to_string();
+    assert!(error.starts_with("o.ini:2: [release spring]: an order of "), "{error}");
+    assert!(error.ends_with("600 are the most, write shorter names or fewer zones"), "{error}");
 }
 
 #[test]
-fn only_a_plain_file_of_fitting_size_is_loaded() {
+fn only_a_regular_file_that_is_not_too_long_is_loaded() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("o.ini");
-    let told = || load_orders(&file).unwrap_err().to_string();
-    assert!(told().contains("o.ini: No such file") && told().contains("name a settings file"), "{}", told());
+    let load_error = || load_orders(&file).unwrap_err().to_string();
+    assert!(
+        load_error().contains("o.ini: No such file") && load_error().contains("name a settings file"),
+        "{}",
+        load_error()
+    );
     std::fs::write(&file, FULL).unwrap();
     assert_eq!(load_orders(&file).unwrap(), read(FULL).unwrap());
     std::fs::write(&file, [b'[', 0xff, b']']).unwrap();
-    assert!(told().contains("valid UTF-8"), "{}", told());
-    let fits = format!("{FULL};{}", "x".repeat(MOST_BYTES as usize - FULL.len() - 1));
+    assert!(load_error().contains("valid UTF-8"), "{}", load_error());
+    let fits = format!("{FULL};{}", "x".repeat(MAX_FILE_BYTES as usize - FULL.len() - 1));
     std::fs::write(&file, &fits).unwrap();
     assert_eq!(load_orders(&file).unwrap(), read(FULL).unwrap());
     std::fs::write(&file, fits + "x").unwrap();
-    assert!(told().contains("o.ini: over 65536 bytes; name an orders' file"), "{}", told());
+    assert!(load_error().contains("o.ini: over 65536 bytes; name an orders' file"), "{}", load_error());
     let of_folder = load_orders(folder.path()).unwrap_err().to_string();
     assert!(of_folder.contains("it is no plain file"), "{of_folder}");
 }
 
-/// What operators copy.
+/// Guards the example that operators copy.
 #[test]
-fn the_example_of_the_manual_can_be_read() {
+fn the_example_of_the_manual_is_valid() {
     let manual = include_str!("../../../../docs/operating.md");
     let lines = manual.lines().skip_while(|it| !it.starts_with("    [release "));
     let lines = lines.take_while(|it| it.is_empty() || it.starts_with("    "));
--- a/daemon/src/settings/releases.rs
+++ b/daemon/src/settings/releases.rs
@@ -1,55 +1,58 @@
-//! `[releases]`: that this manager goes out for releases when the fleet agrees, and whether it reads the
-//! orders' file. Off unless told.
+//! `[releases]`: whether this manager exits for releases when the fleet permits it, and whether it reads the
+//! orders' file. Optional.
 
 use super::council::Council;
 use super::ini_file::IniFile;
 use super::members::Members;
-use super::values::NAMES;
+use super::values::NAME_DESCRIPTION;
 use ottersail::time::Ms;
 use ottersail_rollout::Name;
 use std::path::{Path, PathBuf};
 
+/// A manager's settings for releases.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Releases {
-    /// The orders' file; only the manager that is given it reads it.
+    /// The orders' file, for the one manager of the fleet that reads it.
     pub orders: Option<PathBuf>,
-    /// This program with these settings, as orders name it.
+    /// The name that orders use for this program with these settings.
     pub version: Name,
-    /// The version to come back with is written there before the process ends, for whoever starts it again.
+    /// The file that the version to start next is written to before the process exits, for its supervisor.
     pub next: PathBuf,
-    /// So long it lets play what it holds before it ends.
+    /// How long viewings may play on before the process exits.
     pub play_out: Ms,
 }
 
-const HOUR: f64 = 3.6e6;
+/// An hour in milliseconds.
+const HOUR_MS: f64 = 3.6e6;
 
-/// `None` if there is no such section, or if it can't be followed: then a problem says cause.
+/// Reads `[releases]`. `None` if the section is missing, or if it is invalid or has no council; then a problem is
+/// added.
 pub(super) fn releases(
     ini: &IniFile,
     folder: &Path,
     (members, council): (Option<&Members>, Option<&Council>),
 ) -> Option<Releases> {
-    let it = ini.optional_section("releases")?;
-    let told = it.get("version").unwrap_or(env!("CARGO_PKG_VERSION"));
-    let version = Name::new(told);
+    let section = ini.optional_section("releases")?;
+    let version_text = section.get("version").unwrap_or(env!("CARGO_PKG_VERSION"));
+    let version = Name::new(version_text);
     if version.is_none() {
-        it.add_problem("version", format!("expected {NAMES}, read {told:?}"));
+        section.add_problem("version", format!("expected {NAME_DESCRIPTION}, read {version_text:?}"));
     }
-    let file = |key: &str| it.get(key).filter(|it| !it.is_empty()).map(|it| folder.join(it));
-    let (orders, next) = (file("orders"), folder.join(it.text("next")));
-    // It is written over: an orders' file, keys or a store would be gone.
-    let keys = members.map(|it| ("[members] keys", &it.keys));
-    let store = council.and_then(|it| it.store.as_ref()).map(|it| ("[council] store", it));
-    let others = orders.as_ref().map(|it| ("orders", it)).into_iter().chain(keys).chain(store);
-    for (other, _) in others.filter(|it| *it.1 == next) {
-        it.add_problem("next", format!("must be a file of its own, and is that of {other} too"));
+    let file = |key: &str| section.get(key).filter(|path| !path.is_empty()).map(|path| folder.join(path));
+    let (orders, next) = (file("orders"), folder.join(section.text("next")));
+    // The file is overwritten, so it must not be the orders' file, the keys or the store.
+    let keys = members.map(|members| ("[members] keys", &members.keys));
+    let store = council.and_then(|council| council.store.as_ref()).map(|path| ("[council] store", path));
+    let others = orders.as_ref().map(|path| ("orders", path)).into_iter().chain(keys).chain(store);
+    for (other, _) in others.filter(|(_, path)| **path == next) {
+        section.add_problem("next", format!("must be a file of its own, and is that of {other} too"));
     }
-    let play_out = Ms(it.number_or("play-out-ms", 0.0..=HOUR, 0.0));
-    // Those that are there and wrong have their own problems.
-    let lacks = |it: &&&str| ini.optional_section(it).is_none();
-    if let Some(lacking) = ["members", "council"].iter().find(lacks) {
-        let rule = format!("[releases] needs [{lacking}]; write that section too, or take this one out");
-        ini.add_problem(it.heading(), rule);
+    let play_out = Ms(section.number_or("play-out-ms", 0.0..=HOUR_MS, 0.0));
+    // A section that is there and invalid has problems of its own.
+    let is_missing = |name: &&&str| ini.optional_section(name).is_none();
+    if let Some(missing) = ["members", "council"].iter().find(is_missing) {
+        let message = format!("[releases] needs [{missing}]; write that section too, or take this one out");
+        ini.add_problem(section.heading_line(), message);
     }
     Some(Releases { orders, version: version?, next, play_out }).filter(|_| council.is_some())
 }
@@ -68,28 +71,31 @@
         let (ini, folder) = (IniFile::read("m.ini", text), Path::new("folder"));
         let members = crate::settings::members::members(&ini, folder, 0);
         let council = crate::settings::council::council(&ini, folder, members.as_ref());
-        (releases(&ini, folder, (members.as_ref(), council.as_ref())), ini.end())
+        (releases(&ini, folder, (members.as_ref(), council.as_ref())), ini.finish())
     }
 
     #[test]
-    fn off_unless_told() {
-        let (it, end) = read(FILE.strip_prefix("[releases]\nnext = n\n").unwrap());
-        assert!(it.is_none() && end.is_ok(), "{end:?}");
+    fn without_the_section_there_are_no_releases() {
+        let (section, result) = read(FILE.strip_prefix("[releases]\nnext = n\n").unwrap());
+        assert!(section.is_none() && result.is_ok(), "{result:?}");
     }
 
     #[test]
-    fn what_is_not_said_is_filled_in_and_what_is_said_is_read() {
-        let (it, end) = read(FILE);
-        end.unwrap();
-        let it = it.unwrap();
-        assert_eq!((it.version.as_str(), it.play_out, it.orders), (env!("CARGO_PKG_VERSION"), Ms(0.0), None));
-        assert_eq!(it.next, Path::new("folder/n"));
+    fn missing_keys_have_defaults_and_others_are_read() {
+        let (section, result) = read(FILE);
+        result.unwrap();
+        let section = section.unwrap();
+        assert_eq!(
+            (section.version.as_str(), section.play_out, section.orders),
+            (env!("CARGO_PKG_VERSION"), Ms(0.0), None)
+        );
+        assert_eq!(section.next, Path::new("folder/n"));
         let more = "next = n\norders = o.ini\nversion = 2.0-b\nplay-out-ms = 1500";
-        let (it, end) = read(&FILE.replace("next = n", more));
-        end.unwrap();
-        let it = it.unwrap();
-        assert_eq!((it.version.as_str(), it.play_out), ("2.0-b", Ms(1_500.0)));
-        assert_eq!(it.orders.as_deref(), Some(Path::new("folder/o.ini")));
+        let (section, result) = read(&FILE.replace("next = n", more));
+        result.unwrap();
+        let section = section.unwrap();
+        assert_eq!((section.version.as_str(), section.play_out), ("2.0-b", Ms(1_500.0)));
+        assert_eq!(section.orders.as_deref(), Some(Path::new("folder/o.ini")));
     }
 
     #[test_case("next = n\n", "", "1: [releases] lacks next; expected a text"; "nowhere to write")]
@@ -102,24 +108,24 @@
     #[test_case("[releases]", "[release]", "1: [release] is not known here; did you mean [rel"; "a heading")]
     #[test_case("[council]", "[x]", "1: [releases] needs [council]; write that section"; "no council")]
     #[test_case("[members]", "[x]", "1: [releases] needs [members]; write that section"; "no members")]
-    fn what_is_wrong_is_told_with_its_line(was: &str, becomes: &str, expected: &str) {
-        let told = read(&FILE.replace(was, becomes)).1.unwrap_err().to_string();
-        assert!(told.lines().any(|it| it.starts_with(&format!("m.ini:{expected}"))), "{told}");
+    fn problems_are_reported_with_their_line(was: &str, becomes: &str, expected: &str) {
+        let error = read(&FILE.replace(was, becomes)).1.unwrap_err().to_string();
+        assert!(error.lines().any(|it| it.starts_with(&format!("m.ini:{expected}"))), "{error}");
     }
 
     #[test]
-    fn a_council_that_is_wrong_is_told_alone() {
-        let (it, end) = read(&FILE.replace("manager-0, b, c", "manager-0, b"));
-        let told = end.unwrap_err().to_string();
-        assert!(it.is_some() && told.lines().count() == 1 && told.contains("councillors:"), "{told}");
+    fn an_invalid_council_is_the_only_problem() {
+        let (section, result) = read(&FILE.replace("manager-0, b, c", "manager-0, b"));
+        let error = result.unwrap_err().to_string();
+        assert!(section.is_some() && error.lines().count() == 1 && error.contains("councillors:"), "{error}");
     }
 
     #[test]
-    fn an_order_in_a_managers_file_is_sent_to_its_own() {
-        let told = parse_manager(Path::new("m.ini"), "[release a]\nserial = 1\n").unwrap_err().to_string();
+    fn an_order_in_a_managers_file_is_referred_to_an_orders_file() {
+        let error = parse_manager(Path::new("m.ini"), "[release a]\nserial = 1\n").unwrap_err().to_string();
         assert!(
-            told.contains("m.ini:1: [release a] is not known here; it belongs in an orders' file"),
-            "{told}"
+            error.contains("m.ini:1: [release a] is not known here; it belongs in an orders' file"),
+            "{error}"
         );
     }
 }
--- a/daemon/src/settings/sections.rs
+++ b/daemon/src/settings/sections.rs
@@ -1,53 +1,63 @@
-//! All sections that settings have, and the module that reads each. A further one gets a module with a
-//! function that takes the [`IniFile`](super::ini_file::IniFile), its line here, and its call in `parse_manager` or
-//! `parse_day`; one that is off unless told asks with [`optional_section`](super::ini_file::IniFile::optional_section).
+//! The sections of all settings files, and the module that reads each. A new section needs a module with a
+//! function that takes the [`IniFile`](super::ini_file::IniFile), an entry here, and a call in `parse_manager` or
+//! `parse_day`. Optional sections are read with
+//! [`optional_section`](super::ini_file::IniFile::optional_section).
 
-/// The files in which a section may stand.
+/// The kinds of settings files that a section may be in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum In {
+pub enum FileKind {
     Manager,
     Day,
     Both,
     Orders,
 }
 
-/// A section by its heading, the files it may stand in, and the module that reads it. Where NAME follows,
-/// there may be several.
-pub const SECTIONS: &[(&str, In, &str)] = &[
-    ("manager", In::Manager, "manager"),
-    ("list", In::Manager, "links"),
-    ("servers", In::Manager, "links"),
-    ("members", In::Manager, "members"),
-    ("council", In::Manager, "council"),
-    ("releases", In::Manager, "releases"),
-    ("ladder", In::Both, "terms"),
-    ("rules", In::Both, "terms"),
-    ("package NAME", In::Both, "package"),
-    ("tenant NAME", In::Both, "package"),
-    ("day", In::Day, "day"),
-    ("fleet", In::Day, "day"),
-    ("players", In::Day, "day"),
-    ("even", In::Day, "day"),
-    ("fault NAME", In::Day, "fault"),
-    ("release NAME", In::Orders, "orders"),
-    ("drain NAME", In::Orders, "orders"),
+/// A kind of section.
+#[derive(Clone, Copy, Debug)]
+pub struct SectionInfo {
+    /// The heading. If it ends with ` NAME`, there may be several sections, each with its own name.
+    pub heading: &'static str,
+    pub files: FileKind,
+    /// The module that reads the section.
+    pub module: &'static str,
+}
+
+/// All kinds of sections.
+pub const SECTIONS: &[SectionInfo] = &[
+    SectionInfo { heading: "manager", files: FileKind::Manager, module: "manager" },
+    SectionInfo { heading: "list", files: FileKind::Manager, module: "links" },
+    SectionInfo { heading: "servers", files: FileKind::Manager, module: "links" },
+    SectionInfo { heading: "members", files: FileKind::Manager, module: "members" },
+    SectionInfo { heading: "council", files: FileKind::Manager, module: "council" },
+    SectionInfo { heading: "releases", files: FileKind::Manager, module: "releases" },
+    SectionInfo { heading: "ladder", files: FileKind::Both, module: "terms" },
+    SectionInfo { heading: "rules", files: FileKind::Both, module: "terms" },
+    SectionInfo { heading: "package NAME", files: FileKind::Both, module: "package" },
+    SectionInfo { heading: "tenant NAME", files: FileKind::Both, module: "package" },
+    SectionInfo { heading: "day", files: FileKind::Day, module: "day" },
+    SectionInfo { heading: "fleet", files: FileKind::Day, module: "day" },
+    SectionInfo { heading: "players", files: FileKind::Day, module: "day" },
+    SectionInfo { heading: "even", files: FileKind::Day, module: "day" },
+    SectionInfo { heading: "fault NAME", files: FileKind::Day, module: "fault" },
+    SectionInfo { heading: "release NAME", files: FileKind::Orders, module: "orders" },
+    SectionInfo { heading: "drain NAME", files: FileKind::Orders, module: "orders" },
 ];
 
-/// What follows the first word of a heading of which there may be several.
-pub(super) const NAMED: &str = " NAME";
+/// Ends the heading of a kind of section of which there may be several.
+pub(super) const NAME_SUFFIX: &str = " NAME";
 
-/// The files in which a section may stand, for one that stands elsewhere.
-pub(super) fn files(heading: &str) -> Option<&'static str> {
-    let same = |listed: &str| match listed.strip_suffix(NAMED) {
-        Some(kind) => heading.split_once(' ').is_some_and(|it| it.0 == kind),
+/// Describes the files that a section may be in, for one that is in another file.
+pub(super) fn files_of(heading: &str) -> Option<&'static str> {
+    let matches = |listed: &str| match listed.strip_suffix(NAME_SUFFIX) {
+        Some(kind) => heading.split_once(' ').is_some_and(|(first_word, _)| first_word == kind),
         None => heading == listed,
     };
-    let (_, files, _) = SECTIONS.iter().find(|it| same(it.0))?;
-    Some(match files {
-        In::Manager => "a manager's file",
-        In::Day => "a day's file",
-        In::Both => "a manager's or a day's file",
-        In::Orders => "an orders' file",
+    let section = SECTIONS.iter().find(|section| matches(section.heading))?;
+    Some(match section.files {
+        FileKind::Manager => "a manager's file",
+        FileKind::Day => "a day's file",
+        FileKind::Both => "a manager's or a day's file",
+        FileKind::Orders => "an orders' file",
     })
 }
 
@@ -63,16 +73,17 @@
 
     const DAY: &str = include_str!("../../tests/day.ini");
 
-    fn listed(files: &[In]) -> BTreeSet<String> {
-        SECTIONS.iter().filter(|it| files.contains(&it.1)).map(|it| it.0.to_string()).collect()
+    fn listed(files: &[FileKind]) -> BTreeSet<String> {
+        let in_files = SECTIONS.iter().filter(|section| files.contains(&section.files));
+        in_files.map(|section| section.heading.to_string()).collect()
     }
 
-    /// A section that is read but not listed, or listed and read by nobody, is found here.
+    /// Fails if a section is read but not listed, or listed but not read.
     #[test]
-    fn the_list_names_all_sections_that_are_read() {
+    fn the_listed_sections_are_those_that_are_read() {
         let ini = IniFile::read("day.ini", DAY);
-        let plan = day::plan(&ini).unwrap();
-        assert_eq!(ini.asked(), listed(&[In::Day, In::Both]));
+        let plan = day::read_plan(&ini).unwrap();
+        assert_eq!(ini.known_headings(), listed(&[FileKind::Day, FileKind::Both]));
         let local = LocalSettings {
             listen: "127.0.0.1:1",
             list: "127.0.0.1:2",
@@ -86,10 +97,10 @@
             releases: None,
         };
         let ini = IniFile::read("m.ini", &write_manager(&plan.terms, &local));
-        manager::manager(&ini, Path::new(".")).unwrap();
-        assert_eq!(ini.asked(), listed(&[In::Manager, In::Both]));
+        manager::read_manager(&ini, Path::new(".")).unwrap();
+        assert_eq!(ini.known_headings(), listed(&[FileKind::Manager, FileKind::Both]));
         let ini = IniFile::read("o.ini", "");
         orders::orders(&ini);
-        assert_eq!(ini.asked(), listed(&[In::Orders]));
+        assert_eq!(ini.known_headings(), listed(&[FileKind::Orders]));
     }
 }
--- a/daemon/src/settings/terms.rs
+++ b/daemon/src/settings/terms.rs
@@ -1,18 +1,29 @@
-//! `[ladder]` and `[rules]`: the terms that managers of one fleet share, in a manager's file and in a day's.
+//! `[ladder]` and `[rules]`: the configuration of placement that all managers of a fleet share. They are in a
+//! manager's file and in a day's.
 
 use super::ini_file::{IniFile, Section};
 use super::package::{packages, tenants};
-use super::SPAN;
+use super::DURATION_RANGE_MS;
 use ottersail::config::{ColdStart, PlacementConfig, ResendBudget};
 use ottersail::ids::{HardwareKind, ManagerIndex};
 use ottersail::time::Ms;
 
-/// The terms of a manager, by number, count and zone, from the sections that a day's file has too.
-pub fn terms(ini: &IniFile, (number, managers, zone): (u64, u64, &str)) -> PlacementConfig {
+/// Which manager of a fleet the terms are for.
+pub struct ManagerIdentity<'a> {
+    /// The manager's number, counted from 0.
+    pub number: u64,
+    /// How many managers there are.
+    pub managers: u64,
+    pub zone: &'a str,
+}
+
+/// Reads a manager's terms.
+pub fn terms(ini: &IniFile, identity: &ManagerIdentity) -> PlacementConfig {
+    let ManagerIdentity { number, managers, zone } = *identity;
     let ladder = ini.section("ladder");
     let rules = ini.section("rules");
     let ladder_kb = ladder.numbers("rates-kb", 0.001..=1e9);
-    if ladder_kb.windows(2).any(|it| it[0] >= it[1]) {
+    if ladder_kb.windows(2).any(|rates| rates[0] >= rates[1]) {
         ladder.add_problem("rates-kb", "each rung's rate must be higher than the one before");
     }
     let packages = packages(ini, ladder_kb.len());
@@ -21,9 +32,9 @@
         ladder.add_problem("worth", format!("one figure for each of the {} rungs", ladder_kb.len()));
     }
     let join = ladder.number_or("join", 0.0..=1.0, 1.0);
-    for (_, part) in ini.sections("package").iter().filter(|it| it.1.flag_or("live", false)) {
+    for (_, section) in ini.sections("package").iter().filter(|(_, section)| section.flag_or("live", false)) {
         if join >= 1.0 {
-            part.add_problem("live", "shares streams, but [ladder] has no join under 1");
+            section.add_problem("live", "shares streams, but [ladder] has no join under 1");
         }
     }
     let reports_on_probe = ladder.flag_or("reports-on-probe", false);
@@ -52,18 +63,20 @@
         ladder_kb,
         rung_values: worth,
         live_join_share: join,
-        report_delay: Ms(ladder.number("seen-after-ms", SPAN)),
-        report_interval: Ms(ladder.number("reports-every-ms", 0.0..=*SPAN.end())),
+        report_delay: Ms(ladder.number("seen-after-ms", DURATION_RANGE_MS)),
+        report_interval: Ms(ladder.number("reports-every-ms", 0.0..=*DURATION_RANGE_MS.end())),
         change_cost: Ms(ladder.number("change-cost-ms", 0.0..=3.6e6)),
         max_tune_ins: rules.whole("max-tune-ins", 1..=100) as usize,
-        max_stay_away: rules.get("max-stay-away-ms").map(|_| Ms(rules.number("max-stay-away-ms", SPAN))),
+        max_stay_away: rules
+            .get("max-stay-away-ms")
+            .map(|_| Ms(rules.number("max-stay-away-ms", DURATION_RANGE_MS))),
         must_subscribe: false,
         cross_zone_price: rules.number_or("cross-price", 0.0..=1.0, 0.0),
         cold: ColdStart {
             warm_up: Ms(rules.number("cold-ms", 0.0..=3.6e6)),
             start_capacity: rules.number("start-capacity", 0.0..=1.0),
             fall_multiple: rules.number("fall-multiple", 0.1..=1e3),
-            fall_window: Ms(rules.number("fall-ms", SPAN)),
+            fall_window: Ms(rules.number("fall-ms", DURATION_RANGE_MS)),
             max_send_delay: Ms(0.0),
         },
         budget: budget(&rules),
@@ -71,12 +84,12 @@
     }
 }
 
-/// With one of its keys all three must be there.
+/// The budget of resends. If one of its keys is there, all three are required.
 fn budget(rules: &Section) -> Option<ResendBudget> {
-    let parts = ["budget-free", "budget-ratio", "budget-span-ms"].map(|it| rules.get(it).is_some());
-    parts.contains(&true).then(|| ResendBudget {
+    let present = ["budget-free", "budget-ratio", "budget-span-ms"].map(|key| rules.get(key).is_some());
+    present.contains(&true).then(|| ResendBudget {
         free_resends: rules.number("budget-free", 0.0..=1e9),
         ratio: rules.number("budget-ratio", 0.0..=1e3),
-        window: Ms(rules.number("budget-span-ms", SPAN)),
+        window: Ms(rules.number("budget-span-ms", DURATION_RANGE_MS)),
     })
 }
--- a/daemon/src/settings/values.rs
+++ b/daemon/src/settings/values.rs
@@ -1,136 +1,148 @@
-//! Values of an orders' file: names, parts, steps, zones. What can't be read is complained of.
+//! Values of an orders' file: names, percentages, steps and zones. Invalid values are added to the problems.
 
 use super::ini_file::Section;
 use ottersail_rollout::{Name, Scope, Step};
 use std::collections::BTreeMap;
 
-pub(super) const NAMES: &str = "1 to 32 of a-z, A-Z, 0-9, ., _ and -";
-/// What `Scope::Named` takes.
-const MOST_NAMED: usize = 8;
-const WHOLE: u16 = 1_000;
+/// Describes a valid name, for messages.
+pub(super) const NAME_DESCRIPTION: &str = "1 to 32 of a-z, A-Z, 0-9, ., _ and -";
+/// Most names that `Scope::Named` may have.
+const MAX_NAMED: usize = 8;
+/// All of a fleet, in thousandths.
+const WHOLE_PER_MILLE: u16 = 1_000;
 
-/// `5%` of so many; `None` if it is none, or finer than one of them.
-pub(super) fn part(text: &str, of: u16) -> Option<u16> {
+/// Parses a percentage such as `5%` as a number of `scale` parts (50 of 1000). `None` if the text is no
+/// percentage or the result is not a whole number.
+pub(super) fn parse_percent(text: &str, scale: u16) -> Option<u16> {
     let figure: f64 = text.strip_suffix('%')?.trim().parse().ok()?;
-    let part = figure * f64::from(of) / 100.0;
-    let whole = (0.0..=f64::from(u16::MAX)).contains(&part) && (part - part.round()).abs() < 1e-6;
-    whole.then_some(part.round() as u16)
+    let part = figure * f64::from(scale) / 100.0;
+    let is_valid = (0.0..=f64::from(u16::MAX)).contains(&part) && (part - part.round()).abs() < 1e-6;
+    is_valid.then_some(part.round() as u16)
 }
 
-/// The part as it is written.
-pub(super) fn percent(part: u16, of: u16) -> String {
-    format!("{}%", f64::from(part) * 100.0 / f64::from(of))
+/// Formats `part` of `scale` parts as a percentage.
+pub(super) fn format_percent(part: u16, scale: u16) -> String {
+    format!("{}%", f64::from(part) * 100.0 / f64::from(scale))
 }
 
-/// That key as a part, or what it is where it is left out.
-pub(super) fn part_or(it: &Section, key: &str, of: u16, absent: u16) -> u16 {
-    let Some(text) = it.get(key) else { return absent };
-    part(text, of).unwrap_or_else(|| {
-        let least = percent(1, of);
-        it.add_problem(key, format!("expected a part like 5%, in steps of {least}, read {text:?}"));
-        absent
+/// The percentage of a key as a number of `scale` parts, or `default` if the key is missing.
+pub(super) fn percent_or(section: &Section, key: &str, scale: u16, default: u16) -> u16 {
+    let Some(text) = section.get(key) else { return default };
+    parse_percent(text, scale).unwrap_or_else(|| {
+        let least = format_percent(1, scale);
+        section.add_problem(key, format!("expected a part like 5%, in steps of {least}, read {text:?}"));
+        default
     })
 }
 
-pub(super) fn name(it: &Section, key: &str) -> Name {
-    let text = it.text(key);
+/// A required name.
+pub(super) fn name(section: &Section, key: &str) -> Name {
+    let text = section.text(key);
     Name::new(&text).unwrap_or_else(|| {
-        // That it is missing has been told.
+        // `text` has reported a missing name already.
         if !text.is_empty() {
-            it.add_problem(key, format!("expected {NAMES}, read {text:?}"));
+            section.add_problem(key, format!("expected {NAME_DESCRIPTION}, read {text:?}"));
         }
         Name::default()
     })
 }
 
-pub(super) fn listed(text: &str) -> impl Iterator<Item = &str> {
-    text.split(',').map(str::trim).filter(|it| !it.is_empty())
+/// The items of a list that is separated by commas.
+pub(super) fn list_items(text: &str) -> impl Iterator<Item = &str> {
+    text.split(',').map(str::trim).filter(|item| !item.is_empty())
 }
 
-/// Names set apart by commas, each once; in order, so that two files that name the same say the same.
-pub(super) fn names(it: &Section, key: &str, text: &str) -> Vec<Name> {
+/// Names separated by commas, without duplicates. They are sorted, so that the order in the file does not
+/// matter.
+pub(super) fn names(section: &Section, key: &str, text: &str) -> Vec<Name> {
     let named = |text: &str| {
         let name = Name::new(text);
         if name.is_none() {
-            it.add_problem(key, format!("expected names of {NAMES}, read {text:?}"));
+            section.add_problem(key, format!("expected names of {NAME_DESCRIPTION}, read {text:?}"));
         }
         name
     };
-    let mut all: Vec<Name> = listed(text).filter_map(named).collect();
+    let mut all: Vec<Name> = list_items(text).filter_map(named).collect();
     all.sort();
-    if let Some(two) = all.windows(2).find(|it| it[0] == it[1]) {
-        it.add_problem(key, format!("{} is there twice; take one out", two[0]));
+    if let Some(pair) = all.windows(2).find(|pair| pair[0] == pair[1]) {
+        section.add_problem(key, format!("{} is there twice; take one out", pair[0]));
     }
     all
 }
 
-pub(super) fn who(it: &Section) -> Scope {
-    let text = it.text("who");
+/// The scope of an order.
+pub(super) fn scope(section: &Section) -> Scope {
+    let text = section.text("who");
     let (kind, rest) = text.split_once(char::is_whitespace).unwrap_or((&text, ""));
-    let who = match (kind, rest.trim()) {
+    let scope = match (kind, rest.trim()) {
         ("all", "") => Some(Scope::All),
         ("zone", zone) => Name::new(zone).map(Scope::Zone),
-        ("part", text) => part(text, WHOLE).map(Scope::PerMille),
+        ("part", text) => parse_percent(text, WHOLE_PER_MILLE).map(Scope::PerMille),
         ("name", text) if !text.is_empty() => {
-            let names = names(it, "who", text);
-            if names.len() > MOST_NAMED {
-                let rule = format!("{} names; {MOST_NAMED} are the most, take some out", names.len());
-                it.add_problem("who", rule);
+            let names = names(section, "who", text);
+            if names.len() > MAX_NAMED {
+                let message = format!("{} names; {MAX_NAMED} are the most, take some out", names.len());
+                section.add_problem("who", message);
             }
             Some(Scope::Named(names))
         }
         _ => None,
     };
-    who.unwrap_or_else(|| {
+    scope.unwrap_or_else(|| {
         if !text.is_empty() {
-            let rule = format!("expected all, zone NAME, name A, B or part 10%, read {text:?}");
-            it.add_problem("who", rule);
+            let message = format!("expected all, zone NAME, name A, B or part 10%, read {text:?}");
+            section.add_problem("who", message);
         }
         Scope::All
     })
 }
 
-pub(super) fn steps(it: &Section) -> Vec<Step> {
-    let text = it.text("steps");
+/// The steps of an order, which must grow.
+pub(super) fn steps(section: &Section) -> Vec<Step> {
+    let text = section.text("steps");
     let step = |text: &str| {
         let step = match text {
             "one" => Some(Step::Count(1)),
-            "all" => Some(Step::PerMille(WHOLE)),
-            _ if text.ends_with('%') => part(text, WHOLE).map(Step::PerMille),
-            _ => text.parse().ok().filter(|it| *it > 0).map(Step::Count),
+            "all" => Some(Step::PerMille(WHOLE_PER_MILLE)),
+            _ if text.ends_with('%') => parse_percent(text, WHOLE_PER_MILLE).map(Step::PerMille),
+            _ => text.parse().ok().filter(|count| *count > 0).map(Step::Count),
         };
         if step.is_none() {
-            it.add_problem("steps", format!("expected one, a number, a part like 5%, or all, read {text:?}"));
+            section.add_problem(
+                "steps",
+                format!("expected one, a number, a part like 5%, or all, read {text:?}"),
+            );
         }
         step
     };
-    let all: Vec<Step> = listed(&text).filter_map(step).collect();
-    let falls = |two: &[Step]| match (two[0], two[1]) {
+    let all: Vec<Step> = list_items(&text).filter_map(step).collect();
+    let does_not_grow = |pair: &[Step]| match (pair[0], pair[1]) {
         (Step::Count(a), Step::Count(b)) | (Step::PerMille(a), Step::PerMille(b)) => a >= b,
         _ => false,
     };
-    if all.windows(2).any(falls) {
-        it.add_problem("steps", format!("must grow from step to step, read {text:?}"));
+    if all.windows(2).any(does_not_grow) {
+        section.add_problem("steps", format!("must grow from step to step, read {text:?}"));
     }
     all
 }
 
-/// `east 20 2`: a zone's name, how many belong to it, and the most of them out.
-pub(super) fn zones(it: &Section) -> BTreeMap<Name, (u16, u16)> {
+/// The zones' bounds by name: how many belong to a zone, and how many of them may be out at once. A zone is written
+/// as `east 20 2`.
+pub(super) fn zones(section: &Section) -> BTreeMap<Name, (u16, u16)> {
     let mut zones = BTreeMap::new();
-    for text in listed(it.get("zones").unwrap_or("")) {
+    for text in list_items(section.get("zones").unwrap_or("")) {
         let words: Vec<&str> = text.split_whitespace().collect();
         let zone = match words[..] {
             [name, has, most] => Name::new(name).zip(has.parse().ok().zip(most.parse().ok())),
             _ => None,
         };
         let Some((name, bounds)) = zone else {
-            let rule = "expected zones like east 20 2 (name, how many belong to it, most out)";
-            it.add_problem("zones", format!("{rule}, read {text:?}"));
+            let message = "expected zones like east 20 2 (name, how many belong to it, most out)";
+            section.add_problem("zones", format!("{message}, read {text:?}"));
             continue;
         };
         if zones.insert(name.clone(), bounds).is_some() {
-            it.add_problem("zones", format!("{name} is there twice; take one out"));
+            section.add_problem("zones", format!("{name} is there twice; take one out"));
         }
     }
     zones
--- a/daemon/src/settings/write.rs
+++ b/daemon/src/settings/write.rs
@@ -1,4 +1,4 @@
-//! A manager's file, written for rehearsals.
+//! Writes managers' settings files, for rehearsals.
 
 use super::council::Council;
 use super::members::Members;
@@ -6,11 +6,15 @@
 use ottersail::config::{DedupScope, PlacementConfig, RequestSemantics, ResendBudget};
 use ottersail::time::Ms;
 
-/// What of a manager's file is not in its terms.
+/// The settings of a manager that are not part of its terms.
 pub struct LocalSettings<'a> {
+    /// The address that players connect to, `host:port`.
     pub listen: &'a str,
+    /// Address of the discovery service, `host:port`.
     pub list: &'a str,
+    /// File with the keys that sign playlist addresses.
     pub keys: &'a str,
+    /// How long a draining server keeps accepting set-ups that are in flight.
     pub grace: Ms,
     pub list_wait: Ms,
     pub silence: Ms,
@@ -20,10 +24,10 @@
     pub releases: Option<&'a Releases>,
 }
 
-/// Writes a manager's file; [`parse_manager`](super::manager::parse_manager) reads the same terms from it.
+/// Writes a manager's file, from which [`parse_manager`](super::manager::parse_manager) reads the same settings.
 pub fn write_manager(terms: &PlacementConfig, local: &LocalSettings) -> String {
-    let yes = |it: bool| if it { "yes" } else { "no" };
-    let join = |all: &[f64]| all.iter().map(f64::to_string).collect::<Vec<_>>().join(", ");
+    let yes_no = |flag: bool| if flag { "yes" } else { "no" };
+    let join = |numbers: &[f64]| numbers.iter().map(f64::to_string).collect::<Vec<_>>().join(", ");
     let LocalSettings { listen, list, keys, grace, list_wait, silence, cores, .. } = local;
     let places: Vec<String> =
         terms.places_by_kind.iter().map(|(kind, places)| format!("{kind}:{places}")).collect();
@@ -40,15 +44,15 @@
         join(&terms.ladder_kb),
         terms.link_unit_kb,
         terms.uplink_kb,
-        yes(terms.uplinks_reported),
+        yes_no(terms.uplinks_reported),
         terms.cells,
         terms.racks,
         places.join(", "),
         terms.report_delay.0,
         terms.report_interval.0,
         terms.change_cost.0,
-        yes(terms.reports_on_probe),
-        yes(terms.weights_listed),
+        yes_no(terms.reports_on_probe),
+        yes_no(terms.weights_listed),
         terms.live_join_share
     );
     if !terms.rung_values.is_empty() {
@@ -57,7 +61,7 @@
     text += &format!(
         "\n[rules]\nprobes-allowed = {}\ndrain-grace-ms = {}\ncold-ms = {}\nstart-capacity = {}\n\
          fall-multiple = {}\nfall-ms = {}\nmax-tune-ins = {}\ncross-price = {}\n",
-        yes(terms.reports_on_probe),
+        yes_no(terms.reports_on_probe),
         grace.0,
         terms.cold.warm_up.0,
         terms.cold.start_capacity,
@@ -66,22 +70,27 @@
         terms.max_tune_ins,
         terms.cross_zone_price
     );
-    if let Some(most) = terms.max_stay_away {
-        text += &format!("max-stay-away-ms = {}\n", most.0);
+    if let Some(limit) = terms.max_stay_away {
+        text += &format!("max-stay-away-ms = {}\n", limit.0);
     }
     if let Some(budget) = terms.budget {
         let ResendBudget { free_resends: free, ratio, window: span } = budget;
         text += &format!("budget-free = {free}\nbudget-ratio = {ratio}\nbudget-span-ms = {}\n", span.0);
     }
-    for it in &terms.packages {
-        text +=
-            &format!(
+    for package in &terms.packages {
+        text += &format!(
             "\n[package {}]\nvalue = {}\njoin-target-ms = {}\nscale = {}\nfloor = {}\ntop = {}\nseats = {}\n\
              live = {}\n",
-            it.name, it.value, it.join_target.0, it.rate_scale, it.floor.0, it.top.0, it.seats,
-            yes(it.live)
+            package.name,
+            package.value,
+            package.join_target.0,
+            package.rate_scale,
+            package.floor.0,
+            package.top.0,
+            package.seats,
+            yes_no(package.live)
         );
-        text += &match it.semantics {
+        text += &match package.semantics {
             RequestSemantics::Idempotent => "repeat = safe\n".to_string(),
             RequestSemantics::AtMostOnce => "repeat = unsafe\n".to_string(),
             RequestSemantics::Deduplicated { group, window } => {
@@ -94,9 +103,9 @@
             }
         };
     }
-    if let Some(it) = local.members {
-        let seeds = it.seeds.iter().map(|it| it.to_string()).collect::<Vec<_>>().join(", ");
-        let Members { name, cluster, listen, advertise, keys, period, .. } = it;
+    if let Some(members) = local.members {
+        let seeds = members.seeds.iter().map(|seed| seed.to_string()).collect::<Vec<_>>().join(", ");
+        let Members { name, cluster, listen, advertise, keys, period, .. } = members;
         text += &format!(
             "\n[members]\nname = {name}\ncluster = {cluster}\nlisten = {listen}\nadvertise = {advertise}\n\
              seeds = {seeds}\nkeys = {}\nperiod-ms = {}\n",
@@ -104,26 +113,26 @@
             period.0
         );
     }
-    if let Some(it) = local.council {
-        let Council { councillors, store, slots, lease_ms, drift_ppm } = it;
+    if let Some(council) = local.council {
+        let Council { councillors, store, slots, lease_ms, drift_ppm } = council;
         text += &format!(
             "\n[council]\ncouncillors = {}\nslots = {slots}\nlease-ms = {lease_ms}\n\
              drift-ppm = {drift_ppm}\n",
             councillors.join(", ")
         );
-        text += &store.as_ref().map_or(String::new(), |it| format!("store = {}\n", it.display()));
+        text += &store.as_ref().map_or(String::new(), |path| format!("store = {}\n", path.display()));
     }
-    if let Some(it) = local.releases {
-        let Releases { orders, version, next, play_out } = it;
+    if let Some(releases) = local.releases {
+        let Releases { orders, version, next, play_out } = releases;
         text += &format!(
             "\n[releases]\nversion = {version}\nnext = {}\nplay-out-ms = {}\n",
             next.display(),
             play_out.0
         );
-        text += &orders.as_ref().map_or(String::new(), |it| format!("orders = {}\n", it.display()));
+        text += &orders.as_ref().map_or(String::new(), |path| format!("orders = {}\n", path.display()));
     }
-    for it in &terms.tenants {
-        text += &format!("\n[tenant {}]\nallowance-per-s = {}\n", it.name, it.allowance_per_s);
+    for tenant in &terms.tenants {
+        text += &format!("\n[tenant {}]\nallowance-per-s = {}\n", tenant.name, tenant.allowance_per_s);
     }
     text
 }
--- a/daemon/src/trial.rs
+++ b/daemon/src/trial.rs
@@ -1,8 +1,8 @@
-//! Trials on the live platform: real session managers as processes on loopback, against the stand-ins of
-//! `ottersail-fake-servers`, judged from the sockets.
+//! Support for tests of `ottersail node`: session managers as processes on loopback, against the fake servers of
+//! `ottersail-fake-servers`.
 
-mod manager;
-mod settings;
+mod manager_process;
+mod manager_settings;
 
-pub use manager::{LaunchOptions, ManagerProcess};
-pub use settings::{ClassSettings, ManagerSettings};
+pub use manager_process::{LaunchOptions, ManagerProcess};
+pub use manager_settings::{ClassSettings, ManagerSettings};
--- a/daemon/src/trial/manager.rs
+++ b/daemon/src/trial/manager_process.rs
@@ -10,21 +10,25 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-const CONFIG: &str = "config.json";
-const LOG: &str = "log";
-const LOOK: Duration = Duration::from_millis(10);
-const TEST_ANSWER: Duration = Duration::from_millis(500);
+/// Name of the configuration file.
+const CONFIG_FILE: &str = "config.json";
+/// Name of the log file.
+const LOG_FILE: &str = "log";
+/// Pause between two readiness checks.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Limit for connecting and for the answer, in a readiness check.
+const READY_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How the managers of a trial are started.
 #[derive(Clone, Debug)]
 pub struct LaunchOptions {
-    /// The program `ottersail`.
+    /// Path of the program `ottersail`.
     pub program: PathBuf,
-    /// Each manager has a folder of its own in it.
+    /// Folder that each manager's own folder is created in.
     pub folder: PathBuf,
-    /// File descriptors that a process may hold.
+    /// Most file descriptors that a process may hold open.
     pub sockets: usize,
-    /// What managers log.
+    /// The managers' log filter.
     pub log_filter: String,
 }
 
@@ -42,7 +46,7 @@
     }
 
     fn spawn(&self) -> Result<Process, Trouble> {
-        let log = File::options().create(true).append(true).open(self.folder.join(LOG));
+        let log = File::options().create(true).append(true).open(self.folder.join(LOG_FILE));
         let log = log.map_err(|cause| self.failed(cause))?;
         let mut command = Command::new("sh");
         command
@@ -50,7 +54,7 @@
             .arg(format!("ulimit -n {}; exec \"$0\" --log \"$1\" node", self.sockets))
             .arg(&self.program)
             .arg(&self.log_filter)
-            .env("BALANCER_CONFIG", self.folder.join(CONFIG))
+            .env("BALANCER_CONFIG", self.folder.join(CONFIG_FILE))
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log);
@@ -62,7 +66,7 @@
     /// Starts a manager that listens at the address; it is not ready yet.
     ///
     /// # Errors
-    /// The system's, if files can't be written or the program not be started.
+    /// If files can't be written or the program can't be started.
     pub fn start(
         launch: &LaunchOptions,
         number: usize,
@@ -71,13 +75,13 @@
     ) -> Result<ManagerProcess, Trouble> {
         let launch = LaunchOptions { folder: launch.folder.join(format!("n{number}")), ..launch.clone() };
         let written = std::fs::create_dir_all(&launch.folder)
-            .and_then(|()| std::fs::write(launch.folder.join(CONFIG), config.to_string()));
+            .and_then(|()| std::fs::write(launch.folder.join(CONFIG_FILE), config.to_string()));
         written.map_err(|cause| launch.failed(cause))?;
         let process = launch.spawn()?;
         Ok(ManagerProcess { number, address, launch, process })
     }
 
-    /// A new process in place of the one before, which is killed if it still runs.
+    /// Starts another process in place of the current one, which is killed if it still runs.
     ///
     /// # Errors
     /// As of [`ManagerProcess::start`].
@@ -87,68 +91,73 @@
         Ok(())
     }
 
-    /// Another configuration in place of the one before, at once; SIGHUP has it read.
+    /// Replaces the configuration file atomically. The manager reads it on SIGHUP.
     ///
     /// # Errors
-    /// The system's, if the file can't be written.
+    /// If the file can't be written.
     pub fn write_config(&self, config: &Value) -> io::Result<()> {
         let next = self.launch.folder.join("next.json");
         std::fs::write(&next, config.to_string())?;
-        std::fs::rename(next, self.launch.folder.join(CONFIG))
+        std::fs::rename(next, self.launch.folder.join(CONFIG_FILE))
     }
 
-    /// Whether it passes a test within that time.
+    /// Waits until the manager answers a request; false if it does not within `limit` or has ended.
     pub fn wait_ready(&mut self, limit: Duration) -> bool {
         let began = Instant::now();
         while began.elapsed() < limit && self.process.ended().is_none() {
-            if passes_test(self.address) {
+            if is_ready(self.address) {
                 return true;
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(READY_POLL_INTERVAL);
         }
         false
     }
 
+    /// Sends a signal to the process.
     pub fn signal(&mut self, signal: Signal) {
         self.process.signal(signal);
     }
 
+    /// Kills the process.
     pub fn kill(&mut self) {
         self.process.kill();
     }
 
-    /// Whether it ended by itself within that time, and well.
+    /// Waits for the process to end by itself; `None` if it does not within `limit`, else whether it succeeded.
     pub fn wait_exit(&mut self, limit: Duration) -> Option<bool> {
         self.process.wait(limit).map(|status| status.success())
     }
 
-    /// How it ended, if it has: its exit code, `None` for a signal.
+    /// The exit code if the process has ended; the inner `None` stands for a signal.
     pub fn exit_code(&mut self) -> Option<Option<i32>> {
         self.process.ended().map(|status| status.code())
     }
 
+    /// The memory and processor time that the process uses.
     pub fn cost(&self) -> Option<Cost> {
         cost(self.process.id())
     }
 
-    /// Descriptors that it holds now.
+    /// Number of file descriptors that the process holds open.
     pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.process.id())).map_or(0, Iterator::count)
     }
 
+    /// The log of all processes of this manager so far.
     pub fn log(&self) -> String {
-        std::fs::read_to_string(self.launch.folder.join(LOG)).unwrap_or_default()
+        std::fs::read_to_string(self.launch.folder.join(LOG_FILE)).unwrap_or_default()
     }
 }
 
-fn passes_test(address: SocketAddr) -> bool {
-    let asked = || -> io::Result<bool> {
-        let mut stream = TcpStream::connect_timeout(&address, TEST_ANSWER)?;
-        stream.set_read_timeout(Some(TEST_ANSWER))?;
+/// Whether the manager answers an OPTIONS request with 200.
+fn is_ready(address: SocketAddr) -> bool {
+    let ask = || -> io::Result<bool> {
+        let mut stream = TcpStream::connect_timeout(&address, READY_CHECK_TIMEOUT)?;
+        stream.set_read_timeout(Some(READY_CHECK_TIMEOUT))?;
         stream.write_all(b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")?;
         let mut answer = [0; 64];
         let count = stream.read(&mut answer)?;
         Ok(answer[..count].starts_with(b"RTSP/1.0 200"))
     };
-    asked().unwrap_or(false)
+    ask().unwrap_or(false)
 }
--- a/daemon/src/trial/settings.rs
+++ b/daemon/src/trial/manager_settings.rs
@@ -1,4 +1,4 @@
-//! What the session managers of a trial are configured with.
+//! The configuration of the session managers of a trial.
 
 use ottersail_invariants::platform::Class;
 use serde_json::{json, Value};
@@ -10,11 +10,11 @@
 pub struct ClassSettings {
     pub name: String,
     pub class: Class,
-    /// By when an answer is promised.
+    /// The time within which an answer is promised.
     pub promise: Duration,
-    /// The longest that its clients wait.
+    /// The longest time that clients of this class wait.
     pub deadline: Duration,
-    /// No rung under it may be given.
+    /// The lowest rung that may be given.
     pub lowest_rung: usize,
 }
 
@@ -23,23 +23,24 @@
 pub struct ManagerSettings {
     pub classes: Vec<ClassSettings>,
     pub managers: usize,
-    /// File descriptors that a process may hold.
+    /// Most file descriptors that a process may hold open.
     pub sockets: usize,
-    /// Titles lie in so many cells.
+    /// Number of cells that titles are divided among.
     pub cells: u64,
     pub connect_timeout: Duration,
-    /// Servers close connections that are idle for so long.
+    /// Servers close connections that are idle for this long.
     pub connection_idle: Duration,
     pub attempts_per_connection: u64,
     pub max_attempts: u64,
     pub drain_grace: Duration,
-    /// A server that has started is cold for so long; never, if it is zero.
+    /// How long a server is cold after its start. If it is zero, servers are never cold.
     pub cold: Duration,
+    /// Whether managers may probe servers.
     pub probes: bool,
 }
 
-/// Rates of the ladder, in kB a second.
-const RATES_KB: [u64; 3] = [200, 400, 800];
+/// Rates of the ladder's rungs, in kB per second.
+const RUNG_RATES_KB: [u64; 3] = [200, 400, 800];
 
 fn nanoseconds(span: Duration) -> u64 {
     span.as_nanos() as u64
@@ -61,10 +62,10 @@
             "limits": { "sockets": self.sockets }, "channel": channel.to_string(), "known": known,
             "settings": {
                 "classes": classes,
-                "extra": { "rates-kb": RATES_KB, "places": self.cells, "racks": 6, "link-unit-kb": 1e6,
+                "extra": { "rates-kb": RUNG_RATES_KB, "places": self.cells, "racks": 6, "link-unit-kb": 1e6,
                     "rack-link-kb": 1e8, "places-by-kind": [1000], "seen-after-ns": 500_000_000u64,
                     "reports-every-ns": 2_000_000_000u64, "change-costs-s": 0.3, "lowest-rung": lowest,
-                    "top-by-class": of_each(RATES_KB.len() as u64 - 1), "scale-by-class": of_each(1) },
+                    "top-by-class": of_each(RUNG_RATES_KB.len() as u64 - 1), "scale-by-class": of_each(1) },
                 "skus": ["k"], "az": "z", "peers-total": self.managers, "me": manager, "tick-ns": 1_000_000,
                 "allowed": { "max-attempts": self.max_attempts, "retry-after": true,
                     "max-retry-after-ns": 500_000_000u64, "probes": self.probes,
