--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -159,7 +159,7 @@
                 cores: usize::from(cores),
                 pick: pick.map(|choice| choice.0),
                 managers: managers.map(usize::from),
-                beside,
+                other_program: beside,
                 report,
             };
             match rehearse::rehearse(&options) {
--- a/daemon/src/owner/core_assignment.rs
+++ b/daemon/src/owner/core_assignment.rs
@@ -7,6 +7,7 @@
 use ottersail_net::idle_time;
 
 impl PlacementOwner {
+    /// The core that saw an event, for the record.
     pub(super) fn core_of_event(&self, event: &FrontInput) -> usize {
         match event {
             FrontInput::TitleRequested { request: request_id, .. }
@@ -28,6 +29,7 @@
         sum as usize % self.cores.len()
     }
 
+    /// The core that sends a viewing's commands; the first core if none was chosen.
     pub(super) fn core_of_viewing(&self, viewing: &ViewingId) -> usize {
         self.core_by_viewing.borrow().get(viewing).copied().unwrap_or(0)
     }
--- a/daemon/src/rehearse/manager_process.rs
+++ b/daemon/src/rehearse/manager_process.rs
@@ -41,7 +41,7 @@
     /// The day's seed.
     pub seed: u64,
     /// Another version of the program, for every second manager.
-    pub beside: Option<PathBuf>,
+    pub other_program: Option<PathBuf>,
     /// A baseline policy, for comparison.
     pub pick: Option<Pick>,
     /// Whether all managers use the same seed.
@@ -55,7 +55,7 @@
     pub fn start(&self, number: usize, earlier_starts: usize) -> Result<Process, RehearseError> {
         let path = self.folder.join(format!("manager-{number}.log"));
         let log = File::options().create(true).append(true).open(&path).map_err(file_error(path))?;
-        let other = self.beside.as_ref().filter(|_| number % 2 == 1);
+        let other = self.other_program.as_ref().filter(|_| number % 2 == 1);
         let program = other.unwrap_or(&self.program);
         let mut command = Command::new(program);
         command.arg("run").arg(self.folder.join(format!("manager-{number}.ini")));
--- a/daemon/src/rehearse/options.rs
+++ b/daemon/src/rehearse/options.rs
@@ -25,7 +25,7 @@
     /// Number of managers, in place of the day's.
     pub managers: Option<usize>,
     /// Another version of the program, for every second manager.
-    pub beside: Option<PathBuf>,
+    pub other_program: Option<PathBuf>,
     /// Folder that figures and plots are written to.
     pub report: Option<PathBuf>,
 }
--- a/daemon/src/rehearse/play.rs
+++ b/daemon/src/rehearse/play.rs
@@ -37,7 +37,7 @@
 const LIST_WAIT: Ms = Ms(2_000.0);
 /// A server that sends nothing for this long is lost.
 const SERVER_SILENCE: Ms = Ms(3_000.0);
-/// Time between the start of the servers' clock and the first viewer, in milliseconds.
+/// The day starts this long after the managers are ready and their rest is measured, in milliseconds.
 const START_DELAY_MS: f64 = 200.0;
 
 /// Plays a day and judges it. `folder` gets the managers' files and logs.
@@ -69,7 +69,7 @@
         recording: options.record.is_some(),
         log: options.log.clone(),
         seed: plan.day.seed,
-        beside: options.beside.clone(),
+        other_program: options.other_program.clone(),
         pick: plan.pick,
         one_seed: plan.one_seed,
         stall: stall.map(|fault| Stall { core: options.cores - 1, ms: (fault.size * 1e3) as u64 }),
--- a/daemon/src/settings/day.rs
+++ b/daemon/src/settings/day.rs
@@ -53,7 +53,7 @@
 pub(super) fn read_plan(ini: &IniFile) -> Result<DayPlan, SettingsError> {
     let (day, fleet, players) = (ini.section("day"), ini.section("fleet"), ini.section("players"));
     let managers = fleet.whole("managers", 1..=1000);
-    let zones: Vec<String> = fleet.text("zones").split(',').map(|it| it.trim().to_string()).collect();
+    let zones: Vec<String> = fleet.text("zones").split(',').map(|zone| zone.trim().to_string()).collect();
     let terms = terms(ini, &ManagerIdentity { number: 0, managers, zone: &zones[0] });
     let rules = ini.section("rules");
     let drain_grace = rules.number("drain-grace-ms", 1.0..=3.6e6);
@@ -61,26 +61,29 @@
     if worth.len() != terms.ladder_kb.len() {
         players.add_problem("worth", format!("one figure for each of the {} rungs", terms.ladder_kb.len()));
     }
-    let (kind, places) =
-        terms.places_by_kind.iter().next().map_or((String::new(), 1.0), |it| (it.0.to_string(), *it.1));
-    let part = |section: &Section, key: &str, absent: f64| section.number_or(key, 0.0..=1.0, absent);
+    let (kind, places) = terms
+        .places_by_kind
+        .iter()
+        .next()
+        .map_or((String::new(), 1.0), |(kind, places)| (kind.to_string(), *places));
+    let fraction = |section: &Section, key: &str, default: f64| section.number_or(key, 0.0..=1.0, default);
     let packages: Vec<DayPackage> = ini
         .sections("package")
         .iter()
         .zip(&terms.packages)
-        .map(|((name, it), package)| {
-            let length = it.numbers("length-s", 1.0..=3600.0);
+        .map(|((name, section), package)| {
+            let length = section.numbers("length-s", 1.0..=3600.0);
             let (from, to) = (length.first().copied().unwrap_or(1.0), length.last().copied().unwrap_or(1.0));
             if from > to {
-                it.add_problem("length-s", "the shortest comes first, then the longest");
+                section.add_problem("length-s", "the shortest comes first, then the longest");
             }
-            let patience = it.number("patience-ms", 100.0..=120_000.0);
+            let patience = section.number("patience-ms", 100.0..=120_000.0);
             if patience < package.join_target.0 {
-                it.add_problem("patience-ms", "must not be under join-target-ms");
+                section.add_problem("patience-ms", "must not be under join-target-ms");
             }
             DayPackage {
                 name: (*name).to_string(),
-                share: it.number("share", 0.0..=1e6),
+                share: section.number("share", 0.0..=1e6),
                 patience,
                 length: (from, to),
                 scale: package.rate_scale,
@@ -92,11 +95,11 @@
     let pick = day.word_or("pick", PICKS, None);
     let one_seed = day.flag_or("one-seed", false);
     let members = fleet.flag_or("members", false);
-    let even = ini.optional_section("even").map(|it| Even {
-        herd: it.number("herd", 1.0..=100.0),
-        idle: it.number("idle", 0.0..=1.0),
-        over_oracle: it.number("over-oracle", 1.0..=100.0),
-        wakes: it.get("wakes").map(|_| it.number("wakes", 0.1..=1e6)),
+    let even = ini.optional_section("even").map(|section| Even {
+        herd: section.number("herd", 1.0..=100.0),
+        idle: section.number("idle", 0.0..=1.0),
+        over_oracle: section.number("over-oracle", 1.0..=100.0),
+        wakes: section.get("wakes").map(|_| section.number("wakes", 0.1..=1e6)),
     });
     let day = Day {
         seed: day.whole("seed", 0..=u64::MAX),
@@ -111,7 +114,7 @@
         places,
         link_kb: terms.link_unit_kb,
         uplink_kb: terms.uplink_kb,
-        uneven: part(&fleet, "uneven", 0.2),
+        uneven: fraction(&fleet, "uneven", 0.2),
         cold: terms.cold.warm_up.0,
         start_capacity: terms.cold.start_capacity,
         fall_multiple: terms.cold.fall_multiple,
@@ -128,18 +131,18 @@
         copies: fleet.whole("copies", 1..=2000),
         skew: players.number_or("skew", 0.0..=5.0, 1.0),
         packages,
-        tenants: terms.tenants.iter().map(|it| it.name.clone()).collect(),
+        tenants: terms.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
         per_second: players.number("per-second", 0.1..=10_000.0),
         lean: players.number_or("lean", 0.0..=5.0, 0.0),
-        impatient: part(&players, "impatient", 0.0),
-        leave_early: part(&players, "leave-early", 0.0),
-        come_again: part(&players, "come-again", 0.8),
+        impatient: fraction(&players, "impatient", 0.0),
+        leave_early: fraction(&players, "leave-early", 0.0),
+        come_again: fraction(&players, "come-again", 0.8),
         faults: faults(ini),
     };
     if day.probing > 0 && !rules.flag_or("probes-allowed", false) {
         fleet.add_problem("probing", "needs probes, but [rules] has no probes-allowed = yes");
     }
-    if !members && day.faults.iter().any(|it| it.gossip().is_some()) {
+    if !members && day.faults.iter().any(|fault| fault.gossip().is_some()) {
         fleet.add_problem("members", "must be yes: there are faults on what members send");
     }
     let shapes_factor = fleet.number_or("shapes-factor", 1.0..=100.0, 2.0);
@@ -161,11 +164,16 @@
     /// The terms that the day is judged by.
     pub fn judge_terms(&self) -> JudgeTerms {
         let terms = &self.terms;
-        let package = |it: &ottersail::config::Package| {
-            let may_repeat = it.semantics != RequestSemantics::AtMostOnce;
+        let package = |package: &ottersail::config::Package| {
+            let may_repeat = package.semantics != RequestSemantics::AtMostOnce;
             (
-                it.name.clone(),
-                PackageTerms { may_repeat, floor: it.floor.0, seats: it.seats, scale: it.rate_scale },
+                package.name.clone(),
+                PackageTerms {
+                    may_repeat,
+                    floor: package.floor.0,
+                    seats: package.seats,
+                    scale: package.rate_scale,
+                },
             )
         };
         let shapes = Shapes { new_from: self.day.managers - self.day.probing, factor: self.shapes_factor };
@@ -176,7 +184,7 @@
             start_capacity: terms.cold.start_capacity,
             fall_multiple: terms.cold.fall_multiple,
             fall: terms.cold.fall_window.0,
-            budget: terms.budget.map(|it| (it.free_resends, it.ratio, it.window.0)),
+            budget: terms.budget.map(|budget| (budget.free_resends, budget.ratio, budget.window.0)),
             packages: terms.packages.iter().map(package).collect(),
             even: self.even,
             rates_kb: terms.ladder_kb.clone(),
--- a/daemon/src/settings/manager.rs
+++ b/daemon/src/settings/manager.rs
@@ -131,14 +131,14 @@
 
     #[test]
     fn optional_terms_have_defaults() {
-        let it = read(FILE).unwrap().terms;
+        let terms = read(FILE).unwrap().terms;
         assert!(
-            !it.reports_on_probe
-                && it.weights_listed
-                && it.rung_values.is_empty()
-                && it.live_join_share == 1.0
+            !terms.reports_on_probe
+                && terms.weights_listed
+                && terms.rung_values.is_empty()
+                && terms.live_join_share == 1.0
         );
-        assert!(it.packages.iter().all(|it| !it.live));
+        assert!(terms.packages.iter().all(|package| !package.live));
     }
 
     #[test]
@@ -149,8 +149,8 @@
 
     #[test]
     fn an_interval_of_zero_turns_reports_off() {
-        let it = read(&FILE.replace("reports-every-ms = 3000", "reports-every-ms = 0")).unwrap();
-        assert_eq!(it.terms.report_interval, Ms(0.0));
+        let settings = read(&FILE.replace("reports-every-ms = 3000", "reports-every-ms = 0")).unwrap();
+        assert_eq!(settings.terms.report_interval, Ms(0.0));
     }
 
     #[test_case(FILE.to_string(); "without optional terms")]
--- a/daemon/src/settings/members.rs
+++ b/daemon/src/settings/members.rs
@@ -133,7 +133,7 @@
         assert_eq!((section.name.as_str(), section.period), ("a-1", Ms(200.0)));
         assert_eq!(section.advertise.to_string(), "127.0.0.9:1");
         assert_eq!(
-            section.seeds.iter().map(|it| it.to_string()).collect::<Vec<_>>(),
+            section.seeds.iter().map(|seed| seed.to_string()).collect::<Vec<_>>(),
             ["127.0.0.2:2", "127.0.0.3:3"]
         );
     }
