--- a/daemon/src/rehearse/member_network.rs
+++ b/daemon/src/rehearse/member_network.rs
@@ -122,6 +122,16 @@
     }
 }
 
+/// The start or the end of a fault.
+struct FaultChange {
+    /// Time since the start of the day, in seconds.
+    second: f64,
+    /// Index of the fault.
+    index: usize,
+    /// Whether the fault starts.
+    on: bool,
+}
+
 /// Updates the conditions of all links whenever a fault begins or ends.
 async fn play_faults(
     faults: &[NetworkFault],
@@ -130,16 +140,19 @@
     recorder: &Recorder,
     began: Instant,
 ) {
-    let mut changes: Vec<(f64, usize, bool)> = faults
+    let mut changes: Vec<FaultChange> = faults
         .iter()
         .enumerate()
         .flat_map(|(index, NetworkFault { fault, .. })| {
-            [(fault.start, index, true), (fault.end, index, false)]
+            [
+                FaultChange { second: fault.start, index, on: true },
+                FaultChange { second: fault.end, index, on: false },
+            ]
         })
         .collect();
-    changes.sort_by(|a, b| a.0.total_cmp(&b.0));
+    changes.sort_by(|a, b| a.second.total_cmp(&b.second));
     let mut active = BTreeSet::new();
-    for (second, index, on) in changes {
+    for FaultChange { second, index, on } in changes {
         Timer::at(began + Duration::from_secs_f64(second)).await;
         if on {
             active.insert(index);
--- a/daemon/src/settings/manager.rs
+++ b/daemon/src/settings/manager.rs
@@ -57,7 +57,7 @@
     }
     let members = members(ini, folder, number);
     let council = council(ini, folder, members.as_ref());
-    let releases = releases(ini, folder, (members.as_ref(), council.as_ref()));
+    let releases = releases(ini, folder, members.as_ref(), council.as_ref());
     let zone = section.text("zone");
     if members.is_some() && !is_valid_name(&zone) {
         section.add_problem(
--- a/daemon/src/settings/releases.rs
+++ b/daemon/src/settings/releases.rs
@@ -30,7 +30,8 @@
 pub(super) fn releases(
     ini: &IniFile,
     folder: &Path,
-    (members, council): (Option<&Members>, Option<&Council>),
+    members: Option<&Members>,
+    council: Option<&Council>,
 ) -> Option<Releases> {
     let section = ini.optional_section("releases")?;
     let version_text = section.get("version").unwrap_or(env!("CARGO_PKG_VERSION"));
@@ -71,7 +72,7 @@
         let (ini, folder) = (IniFile::read("m.ini", text), Path::new("folder"));
         let members = crate::settings::members::members(&ini, folder, 0);
         let council = crate::settings::council::council(&ini, folder, members.as_ref());
-        (releases(&ini, folder, (members.as_ref(), council.as_ref())), ini.finish())
+        (releases(&ini, folder, members.as_ref(), council.as_ref()), ini.finish())
     }
 
     #[test]
