--- a/consensus/src/acceptor.rs
+++ b/consensus/src/acceptor.rs
@@ -1,37 +1,41 @@
-//! What a councillor has promised and accepted. Nothing is said that is not on disk first: symptom without that,
-//! a value told as chosen and gone after a power cut.
+//! What a councillor has promised and accepted. A reply is sent only once the records behind it are on disk;
+//! otherwise a value reported as chosen could be gone after a power cut.
 
 use std::collections::BTreeMap;
 
 use ottersail::time::Ms;
 use ottersail_membership::MemberId;
 
-#[cfg(any(test, feature = "sabotage"))]
-use crate::effects::Guards;
 use crate::effects::{Effects, Guard, Token};
+#[cfg(any(test, feature = "sabotage"))]
+use crate::guards::Guards;
 use crate::message::{GenerationView, Message};
 use crate::types::{Ballot, Key, Record, Register, StoreGeneration, StoredState, Value};
 
-/// Replies that wait for the disk at most; past that a message counts as lost, as on a full network.
-const WAIT_MOST: usize = 256;
-/// Bytes of registers in one page of a recovery at most.
-const PAGE_MOST: usize = 560;
+/// Maximum number of replies that wait for the disk. Beyond it messages are dropped, as on an overloaded network.
+const MAX_WAITING_REPLIES: usize = 256;
+/// Maximum size in bytes of the registers in one page of a recovery.
+const MAX_PAGE_BYTES: usize = 560;
 
+/// The acceptor role of a councillor.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Acceptor {
-    me: MemberId,
-    /// As it is once all wishes are kept.
+    own_id: MemberId,
+    /// The state once all requested writes are on disk.
     stored: StoredState,
+    /// The number of the last token.
     tokens: u64,
+    /// Replies that wait for their records to be persisted.
     waiting: BTreeMap<Token, Vec<(MemberId, Message)>>,
     #[cfg(any(test, feature = "sabotage"))]
     pub(crate) guards: Guards,
 }
 
 impl Acceptor {
-    pub fn new(me: MemberId, stored: StoredState) -> Acceptor {
+    /// An acceptor with the state that its store holds.
+    pub fn new(own_id: MemberId, stored: StoredState) -> Acceptor {
         Acceptor {
-            me,
+            own_id,
             stored,
             tokens: 0,
             waiting: BTreeMap::new(),
@@ -40,11 +44,12 @@
         }
     }
 
+    /// The state once all requested writes are on disk.
     pub fn stored(&self) -> &StoredState {
         &self.stored
     }
 
-    /// Whether it takes part: its memory reaches back to the founding or has been recovered since.
+    /// Whether it participates: its store has been present since the founding or has been recovered since.
     pub fn participates(&self) -> bool {
         #[cfg(any(test, feature = "sabotage"))]
         if !self.guards.abstain_until_recovered {
@@ -53,47 +58,49 @@
         self.stored.participating
     }
 
+    /// Its own store generation and those that it knows of the others.
     pub fn view(&self) -> GenerationView {
         GenerationView { generation: self.stored.generation, known: self.stored.known.clone() }
     }
 
-    /// The disk has that; the replies that waited for it go out.
-    pub fn on_persisted(&mut self, token: Token, out: &mut dyn Effects) {
+    /// The records of `token` are on disk: sends the replies that waited for them.
+    pub fn on_persisted(&mut self, token: Token, effects: &mut dyn Effects) {
         for (to, message) in self.waiting.remove(&token).unwrap_or_default() {
-            out.send(to, &message);
+            effects.send(to, &message);
         }
     }
 
+    /// Handles a message of the acceptor's protocol.
     pub fn on_message(
         &mut self,
         now: Ms,
         from: MemberId,
         message: &Message,
         guard: &dyn Guard,
-        out: &mut dyn Effects,
+        effects: &mut dyn Effects,
     ) {
-        if !self.participates() || self.waiting.len() >= WAIT_MOST {
+        if !self.participates() || self.waiting.len() >= MAX_WAITING_REPLIES {
             return;
         }
         match message {
-            Message::Prepare { key, ballot } => self.prepare(from, *key, *ballot, out),
+            Message::Prepare { key, ballot } => self.prepare(from, *key, *ballot, effects),
             Message::Accept { key, ballot, value } => {
-                self.accept(now, from, (*key, *ballot, value), guard, out);
+                self.accept(now, from, (*key, *ballot, value), guard, effects);
             }
-            Message::Recover { generation, after, .. } => self.recover(from, *generation, *after, out),
+            Message::Recover { generation, after, .. } => self.recover(from, *generation, *after, effects),
             _ => {}
         }
     }
 
-    fn prepare(&mut self, from: MemberId, key: Key, ballot: Ballot, out: &mut dyn Effects) {
+    fn prepare(&mut self, from: MemberId, key: Key, ballot: Ballot, effects: &mut dyn Effects) {
         let register = self.stored.registers.get(&key).cloned().unwrap_or_default();
-        if ballot < register.promised && self.holds_to_promises() {
-            return out.send(from, &Message::Refused { key, ballot, promised: register.promised });
+        if ballot < register.promised && self.keeps_promises() {
+            return effects.send(from, &Message::Refused { key, ballot, promised: register.promised });
         }
         let accepted = register.accepted.clone();
         let register = Register { promised: ballot, ..register };
         let reply = Message::Promise { key, ballot, accepted, view: self.view() };
-        self.persist(vec![Record::Register(key, register)], Some((from, reply)), out);
+        self.persist(vec![Record::Register(key, register)], Some((from, reply)), effects);
     }
 
     fn accept(
@@ -102,49 +109,50 @@
         from: MemberId,
         (key, ballot, value): (Key, Ballot, &Value),
         guard: &dyn Guard,
-        out: &mut dyn Effects,
+        effects: &mut dyn Effects,
     ) {
         let register = self.stored.registers.get(&key).cloned().unwrap_or_default();
-        if ballot < register.promised && self.holds_to_promises() {
-            return out.send(from, &Message::Refused { key, ballot, promised: register.promised });
+        if ballot < register.promised && self.keeps_promises() {
+            return effects.send(from, &Message::Refused { key, ballot, promised: register.promised });
         }
         if !guard.allows(now, key, &self.stored, value) {
-            return out.send(from, &Message::Refused { key, ballot, promised: ballot });
+            return effects.send(from, &Message::Refused { key, ballot, promised: ballot });
         }
         let register = Register { promised: ballot, accepted: Some((ballot, value.clone())) };
         let reply = Message::Accepted { key, ballot, view: self.view() };
-        self.persist(vec![Record::Register(key, register)], Some((from, reply)), out);
+        self.persist(vec![Record::Register(key, register)], Some((from, reply)), effects);
     }
 
-    /// Another has lost its memory: what it promised from the lost one counts no more, here from now on.
+    /// Another councillor has lost its store: what it promised from the lost store no longer counts here.
     fn recover(
         &mut self,
         from: MemberId,
         generation: StoreGeneration,
         after: Option<Key>,
-        out: &mut dyn Effects,
+        effects: &mut dyn Effects,
     ) {
         if let Some(&known) = self.stored.known.get(&from).filter(|known| **known > generation) {
-            return out.send(from, &Message::Outdated { known });
+            return effects.send(from, &Message::Outdated { known });
         }
         if let Some(founders) =
             self.stored.founders.clone().filter(|founders| founders.get(&from) == Some(&generation))
         {
-            return out.send(from, &Message::Founded { founders });
+            return effects.send(from, &Message::Founded { founders });
         }
         let (page, more) = self.page(after);
         let mut view = self.view();
         view.known.insert(from, generation);
         let reply = Message::Recovered { generation, after, page, more, view };
-        self.persist(vec![Record::PeerGeneration(from, generation)], Some((from, reply)), out);
+        self.persist(vec![Record::PeerGeneration(from, generation)], Some((from, reply)), effects);
     }
 
+    /// The registers after `after` that fit in one page, and whether more follow.
     fn page(&self, after: Option<Key>) -> (Vec<(Key, Register)>, bool) {
         let mut bytes = 0;
         let mut page = Vec::new();
         for (key, register) in self.stored.registers.iter().filter(|(key, _)| Some(**key) > after) {
             bytes += 80 + register.accepted.as_ref().map_or(0, |(_, value)| value.body.len());
-            if !page.is_empty() && bytes > PAGE_MOST {
+            if !page.is_empty() && bytes > MAX_PAGE_BYTES {
                 return (page, true);
             }
             page.push((*key, register.clone()));
@@ -152,12 +160,12 @@
         (page, false)
     }
 
-    /// Takes these in and wishes them kept; the reply goes out once they are.
+    /// Applies the records and requests that they are persisted. The reply is sent once they are.
     pub fn persist(
         &mut self,
         records: Vec<Record>,
         reply: Option<(MemberId, Message)>,
-        out: &mut dyn Effects,
+        effects: &mut dyn Effects,
     ) -> Token {
         for record in &records {
             self.stored.apply(record);
@@ -167,38 +175,40 @@
         #[cfg(any(test, feature = "sabotage"))]
         if !self.guards.persist_before_reply {
             if let Some((to, message)) = &reply {
-                out.send(*to, message);
+                effects.send(*to, message);
             }
-            out.persist(token, &records);
+            effects.persist(token, &records);
             return token;
         }
         self.waiting.insert(token, reply.into_iter().collect());
-        out.persist(token, &records);
+        effects.persist(token, &records);
         token
     }
 
-    fn holds_to_promises(&self) -> bool {
+    fn keeps_promises(&self) -> bool {
         #[cfg(any(test, feature = "sabotage"))]
         return self.guards.keep_promises;
         #[cfg(not(any(test, feature = "sabotage")))]
         true
     }
 
-    /// Others know a later number, of a recovery that was cut off. What is held here is whole, so it may stand
-    /// under a greater one; what was said under the lesser is merely not counted.
-    pub fn outdated(&mut self, known: StoreGeneration, out: &mut dyn Effects) {
+    /// Raises the own store generation when others know a later one, from a recovery that was interrupted. The
+    /// state here is complete, so it remains valid under a greater generation; replies sent under the lesser one
+    /// are merely not counted.
+    pub fn raise_generation(&mut self, known: StoreGeneration, effects: &mut dyn Effects) {
         let mine = self.stored.generation;
         if known > mine {
-            self.persist(vec![Record::OwnGeneration(mine.above(known))], None, out);
+            self.persist(vec![Record::OwnGeneration(mine.above(known))], None, effects);
         }
     }
 
-    /// Whether all that was wished kept is kept.
-    pub fn idle(&self) -> bool {
+    /// Whether all requested writes are on disk.
+    pub fn all_persisted(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    pub fn me(&self) -> MemberId {
-        self.me
+    /// This councillor's member id.
+    pub fn own_id(&self) -> MemberId {
+        self.own_id
     }
 }
--- a/consensus/src/councillor.rs
+++ b/consensus/src/councillor.rs
@@ -1,4 +1,4 @@
-//! A councillor: accepts, proposes, follows, recovers.
+//! A councillor: an acceptor, a proposer, a follower and, until it participates, a recovery.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -6,69 +6,71 @@
 use ottersail_membership::MemberId;
 
 use crate::acceptor::Acceptor;
-#[cfg(any(test, feature = "sabotage"))]
-use crate::effects::Guards;
-use crate::effects::{CouncilConfig, Effects, Guard, Token};
+use crate::config::CouncilConfig;
+use crate::effects::{Effects, Guard, Token};
 use crate::follower::Follower;
+#[cfg(any(test, feature = "sabotage"))]
+use crate::guards::Guards;
 use crate::message::Message;
-use crate::proposer::{Job, Proposer};
+use crate::proposer::{Proposal, Proposer};
 use crate::recovery::Recovery;
 use crate::types::{Change, Key, Outcome, Record, RequestId, StoredState, Value};
 
-/// Registers read at one bell, to learn which held values are chosen.
-const READ_MOST: usize = 4;
+/// Maximum number of registers read at one timer, to learn which accepted values are chosen.
+const MAX_READS_PER_TIMER: usize = 4;
 
+/// One replica of the council.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Councillor {
     acceptor: Acceptor,
     proposer: Proposer,
     follower: Follower,
     recovery: Recovery,
-    read_at: Ms,
+    next_read: Ms,
 }
 
-/// Messages to oneself stay inside.
-struct Inside<'a> {
-    me: MemberId,
-    out: &'a mut dyn Effects,
-    own: VecDeque<Message>,
+/// Queues messages to this councillor itself and passes on all other effects.
+struct Loopback<'a> {
+    own_id: MemberId,
+    effects: &'a mut dyn Effects,
+    messages: VecDeque<Message>,
 }
 
-impl Effects for Inside<'_> {
+impl Effects for Loopback<'_> {
     fn send(&mut self, to: MemberId, message: &Message) {
-        if to == self.me {
-            self.own.push_back(message.clone());
+        if to == self.own_id {
+            self.messages.push_back(message.clone());
         } else {
-            self.out.send(to, message);
+            self.effects.send(to, message);
         }
     }
 
     fn persist(&mut self, token: Token, records: &[Record]) {
-        self.out.persist(token, records);
+        self.effects.persist(token, records);
     }
 
     fn chosen(&mut self, key: Key, value: &Value) {
-        self.out.chosen(key, value);
+        self.effects.chosen(key, value);
     }
 
     fn answered(&mut self, number: u64, outcome: &Outcome) {
-        self.out.answered(number, outcome);
+        self.effects.answered(number, outcome);
     }
 }
 
 impl Councillor {
-    /// From what its store holds; [`StoredState::new`] for a store just created.
+    /// Continues from what its store holds; [`StoredState::new`] for a store just created.
     pub fn new(now: Ms, config: CouncilConfig, stored: StoredState) -> Councillor {
         Councillor {
-            acceptor: Acceptor::new(config.me, stored),
+            acceptor: Acceptor::new(config.own_id, stored),
             proposer: Proposer::new(config.clone()),
             recovery: Recovery::new(now),
-            read_at: now + config.retry_interval,
+            next_read: now + config.retry_interval,
             follower: Follower::new(now, config),
         }
     }
 
-    /// Takes guards out, to see what breaks.
+    /// Replaces the guards, so that a test can show what breaks without one.
     #[cfg(any(test, feature = "sabotage"))]
     pub fn sabotage(&mut self, guards: Guards) {
         self.acceptor.guards = guards;
@@ -76,28 +78,36 @@
         self.follower.guards = guards;
     }
 
+    /// When [`Councillor::on_timer`] is due.
     pub fn next_timer(&self) -> Ms {
-        let recovery = if self.participates() { self.read_at } else { self.recovery.next_timer() };
+        let recovery = if self.participates() { self.next_read } else { self.recovery.next_timer() };
         self.follower.next_timer().min(self.proposer.next_timer()).min(recovery)
     }
 
-    pub fn on_timer(&mut self, now: Ms, guard: &dyn Guard, out: &mut dyn Effects) {
-        self.run(now, guard, out, |this, out| {
-            this.follower.on_timer(now, out);
-            this.proposer.on_timer(now, out);
-            if !this.participates() {
-                this.recovery.on_timer(now, this.follower.config(), &this.acceptor, out);
-            } else if this.read_at <= now {
-                this.read_at = now + this.follower.config().retry_interval;
-                this.read(now, out);
+    /// Handles all timers that are due.
+    pub fn on_timer(&mut self, now: Ms, guard: &dyn Guard, effects: &mut dyn Effects) {
+        self.run(now, guard, effects, |councillor, effects| {
+            councillor.follower.on_timer(now, effects);
+            councillor.proposer.on_timer(now, effects);
+            if !councillor.participates() {
+                councillor.recovery.on_timer(
+                    now,
+                    councillor.follower.config(),
+                    &councillor.acceptor,
+                    effects,
+                );
+            } else if councillor.next_read <= now {
+                councillor.next_read = now + councillor.follower.config().retry_interval;
+                councillor.read_unconfirmed(now, effects);
             }
         });
     }
 
-    /// After a start, or a lost `Learned`: the preferred councillor reads what it holds newer than it knows chosen.
-    fn read(&mut self, now: Ms, out: &mut dyn Effects) {
+    /// The preferred councillor reads the registers whose accepted value is newer than the known chosen one. This is
+    /// needed after a start or a lost [`Message::Learned`].
+    fn read_unconfirmed(&mut self, now: Ms, effects: &mut dyn Effects) {
         let config = self.follower.config();
-        if self.follower.preferred() != Some(config.me) {
+        if self.follower.preferred() != Some(config.own_id) {
             return;
         }
         let known = |key| self.follower.values().get(key).map_or(0, |value: &Value| value.revision);
@@ -105,31 +115,34 @@
         let newer = registers.filter(|(key, register)| {
             register.accepted.as_ref().is_some_and(|(_, value)| value.revision > known(key))
         });
-        let request = RequestId { member: config.me, life: config.life, number: 0 };
-        let until = now + config.retry_interval;
-        for key in newer.map(|(key, _)| *key).take(READ_MOST).collect::<Vec<_>>() {
-            let job = Job { request, reply: request.member, change: Change::Read, until };
-            self.proposer.propose(now, key, job, out);
+        let request = RequestId { member: config.own_id, life: config.life, number: 0 };
+        let deadline = now + config.retry_interval;
+        for key in newer.map(|(key, _)| *key).take(MAX_READS_PER_TIMER).collect::<Vec<_>>() {
+            let proposal = Proposal { request, reply_to: request.member, change: Change::Read, deadline };
+            self.proposer.propose(now, key, proposal, effects);
         }
     }
 
+    /// Handles a message of another member.
     pub fn on_message(
         &mut self,
         now: Ms,
         from: MemberId,
         message: &Message,
         guard: &dyn Guard,
-        out: &mut dyn Effects,
+        effects: &mut dyn Effects,
     ) {
-        self.run(now, guard, out, |this, out| this.dispatch(now, from, message, guard, out));
+        self.run(now, guard, effects, |councillor, effects| {
+            councillor.dispatch(now, from, message, guard, effects)
+        });
     }
 
-    /// The disk has synced that wish; tokens come back in the order of the wishes.
-    pub fn on_persisted(&mut self, now: Ms, token: Token, guard: &dyn Guard, out: &mut dyn Effects) {
-        self.run(now, guard, out, |this, out| this.acceptor.on_persisted(token, out));
+    /// The records of `token` are synced to disk. Tokens come back in the order of the requests.
+    pub fn on_persisted(&mut self, now: Ms, token: Token, guard: &dyn Guard, effects: &mut dyn Effects) {
+        self.run(now, guard, effects, |councillor, effects| councillor.acceptor.on_persisted(token, effects));
     }
 
-    /// Asks for a change or a read under an own number from 1; `answered(number)` once.
+    /// Requests a change or a read under an own number, counted from 1. [`Effects::answered`] is called once for it.
     pub fn submit(
         &mut self,
         now: Ms,
@@ -137,33 +150,35 @@
         key: Key,
         change: Change,
         guard: &dyn Guard,
-        out: &mut dyn Effects,
+        effects: &mut dyn Effects,
     ) {
-        self.run(now, guard, out, |this, out| this.follower.submit(now, number, key, change, out));
+        self.run(now, guard, effects, |councillor, effects| {
+            councillor.follower.submit(now, number, key, change, effects)
+        });
     }
 
-    /// Who is believed to live now.
+    /// Updates which members are believed alive.
     pub fn set_living(&mut self, living: &BTreeSet<MemberId>) {
         self.follower.set_living(living);
     }
 
-    /// Another's rider.
-    pub fn on_digest(&mut self, now: Ms, from: MemberId, rider: &[u8], out: &mut dyn Effects) {
-        self.follower.on_digest(now, from, rider, out);
+    /// Handles another member's revision digest.
+    pub fn on_digest(&mut self, now: Ms, from: MemberId, digest: &[u8], effects: &mut dyn Effects) {
+        self.follower.on_digest(now, from, digest, effects);
     }
 
     fn run(
         &mut self,
         now: Ms,
         guard: &dyn Guard,
-        out: &mut dyn Effects,
+        effects: &mut dyn Effects,
         step: impl FnOnce(&mut Councillor, &mut dyn Effects),
     ) {
-        let me = self.acceptor.me();
-        let mut inside = Inside { me, out, own: VecDeque::new() };
-        step(self, &mut inside);
-        while let Some(message) = inside.own.pop_front() {
-            self.dispatch(now, me, &message, guard, &mut inside);
+        let own_id = self.acceptor.own_id();
+        let mut loopback = Loopback { own_id, effects, messages: VecDeque::new() };
+        step(self, &mut loopback);
+        while let Some(message) = loopback.messages.pop_front() {
+            self.dispatch(now, own_id, &message, guard, &mut loopback);
         }
     }
 
@@ -173,48 +188,53 @@
         from: MemberId,
         message: &Message,
         guard: &dyn Guard,
-        out: &mut dyn Effects,
+        effects: &mut dyn Effects,
     ) {
         let config = self.follower.config();
         match message {
             Message::Propose { request, key, change } => {
-                let job = Job {
+                let proposal = Proposal {
                     request: *request,
-                    reply: from,
+                    reply_to: from,
                     change: change.clone(),
-                    // The asker turns to others meanwhile. Symptom of a longer life: after trouble all
-                    // councillors duel over requests that each of them holds.
-                    until: now + config.answer_timeout * 2.0,
+                    // The requester asks other councillors in the meantime. With a longer deadline, after an
+                    // outage all councillors would compete over requests that each of them holds.
+                    deadline: now + config.answer_timeout * 2.0,
                 };
-                self.proposer.propose(now, *key, job, out);
+                self.proposer.propose(now, *key, proposal, effects);
             }
             Message::Learned { .. }
             | Message::Answer { .. }
             | Message::Fetch { .. }
-            | Message::Found { .. } => self.follower.on_message(now, from, message, out),
+            | Message::Found { .. } => self.follower.on_message(now, from, message, effects),
             _ if !config.councillors.contains(&from) => {}
             Message::Promise { .. } | Message::Accepted { .. } | Message::Refused { .. } => {
-                self.proposer.on_message(now, from, message, out);
+                self.proposer.on_message(now, from, message, effects);
+            }
+            Message::Outdated { known } if self.participates() => {
+                self.acceptor.raise_generation(*known, effects)
             }
-            Message::Outdated { known } if self.participates() => self.acceptor.outdated(*known, out),
-            _ if self.participates() => self.acceptor.on_message(now, from, message, guard, out),
-            _ => self.recovery.on_message(from, message, config, &mut self.acceptor, out),
+            _ if self.participates() => self.acceptor.on_message(now, from, message, guard, effects),
+            _ => self.recovery.on_message(from, message, config, &mut self.acceptor, effects),
         }
     }
 
-    /// Whether it takes part.
+    /// Whether it participates in the council.
     pub fn participates(&self) -> bool {
         self.acceptor.participates()
     }
 
+    /// The follower role.
     pub fn follower(&self) -> &Follower {
         &self.follower
     }
 
+    /// The acceptor role.
     pub fn acceptor(&self) -> &Acceptor {
         &self.acceptor
     }
 
+    /// The proposer role.
     pub fn proposer(&self) -> &Proposer {
         &self.proposer
     }
--- a/consensus/src/proposer.rs
+++ b/consensus/src/proposer.rs
@@ -1,24 +1,27 @@
-//! Runs rounds: prepare, accept, tell. One round per key at a time; those that lose back off by chance.
+//! Runs rounds: prepare, accept, announce. Each key has one round at a time; a round that loses against another
+//! proposer backs off for a random time.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use ottersail::time::Ms;
 use ottersail_membership::MemberId;
 
+use crate::config::CouncilConfig;
+use crate::effects::Effects;
 #[cfg(any(test, feature = "sabotage"))]
-use crate::effects::Guards;
-use crate::effects::{CouncilConfig, Effects};
+use crate::guards::Guards;
 use crate::message::{GenerationView, Message};
-pub use crate::round::Job;
-use crate::round::{self, Next, Phase, Promised, Round, Rules};
-use crate::types::{Ballot, Change, Key, Outcome, Value, BODY_MOST};
+pub use crate::round::Proposal;
+use crate::round::{self, Decision, Phase, Promised, Round, RoundRules};
+use crate::types::{Ballot, Change, Key, Outcome, Value, MAX_BODY_BYTES};
 use ottersail_membership::chance::Chance;
 
-/// Requests that wait for one key at most.
-const QUEUE_MOST: usize = 16;
-/// Doublings of the back-off at most.
-const DOUBLINGS: u32 = 5;
+/// Maximum number of requests that wait for one key.
+const MAX_QUEUED_PER_KEY: usize = 16;
+/// Maximum number of doublings of the back-off.
+const MAX_BACK_OFF_DOUBLINGS: u32 = 5;
 
+/// The proposer role of a councillor.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Proposer {
     config: CouncilConfig,
@@ -26,12 +29,13 @@
     /// The greatest ballot number seen anywhere.
     highest: u64,
     rounds: BTreeMap<Key, Round>,
-    queues: BTreeMap<Key, VecDeque<Job>>,
+    queues: BTreeMap<Key, VecDeque<Proposal>>,
     #[cfg(any(test, feature = "sabotage"))]
     pub(crate) guards: Guards,
 }
 
 impl Proposer {
+    /// A proposer without rounds.
     pub fn new(config: CouncilConfig) -> Proposer {
         Proposer {
             chance: Chance::new(config.seed),
@@ -44,59 +48,72 @@
         }
     }
 
-    pub fn busy(&self) -> bool {
+    /// Whether a round is under way.
+    pub fn has_rounds(&self) -> bool {
         !self.rounds.is_empty()
     }
 
+    /// When [`Proposer::on_timer`] is due.
     pub fn next_timer(&self) -> Ms {
-        self.rounds.values().map(|round| round.bell).min().unwrap_or(Ms(f64::INFINITY))
+        self.rounds.values().map(|round| round.timer_at).min().unwrap_or(Ms(f64::INFINITY))
     }
 
-    pub fn propose(&mut self, now: Ms, key: Key, job: Job, out: &mut dyn Effects) {
-        if matches!(&job.change, Change::Set { body, .. } if body.len() > BODY_MOST) {
-            return tell(&job, Outcome::Rejected, out);
+    /// Starts a round for the proposal, or queues it behind the key's current round. A retry of the current
+    /// request extends its deadline.
+    pub fn propose(&mut self, now: Ms, key: Key, proposal: Proposal, effects: &mut dyn Effects) {
+        if matches!(&proposal.change, Change::Set { body, .. } if body.len() > MAX_BODY_BYTES) {
+            return send_answer(&proposal, Outcome::Rejected, effects);
         }
         if let Some(round) = self.rounds.get_mut(&key) {
-            if round.job.request == job.request {
-                round.job.until = job.until;
+            if round.proposal.request == proposal.request {
+                round.proposal.deadline = proposal.deadline;
                 return;
             }
             let queue = self.queues.entry(key).or_default();
-            if queue.iter().any(|waiting| waiting.request == job.request) {
+            if queue.iter().any(|waiting| waiting.request == proposal.request) {
                 return;
             }
-            if queue.len() >= QUEUE_MOST {
-                return tell(&job, Outcome::Rejected, out);
+            if queue.len() >= MAX_QUEUED_PER_KEY {
+                return send_answer(&proposal, Outcome::Rejected, effects);
             }
-            return queue.push_back(job);
+            return queue.push_back(proposal);
         }
-        self.start(now, key, job, 0, out);
+        self.start(now, key, proposal, 0, effects);
     }
 
-    fn start(&mut self, now: Ms, key: Key, job: Job, tries: u32, out: &mut dyn Effects) {
+    fn start(
+        &mut self,
+        now: Ms,
+        key: Key,
+        proposal: Proposal,
+        failed_attempts: u32,
+        effects: &mut dyn Effects,
+    ) {
         self.highest += 1;
-        let ballot = Ballot { number: self.highest, proposer: self.config.me, life: self.config.life };
+        let ballot = Ballot { number: self.highest, proposer: self.config.own_id, life: self.config.life };
         let (refused, phase) = (BTreeSet::new(), Phase::Preparing(BTreeMap::new()));
-        let bell = now + self.config.phase_timeout;
-        self.rounds.insert(key, Round { job, ballot, tries, refused, bell, phase });
-        self.all(&Message::Prepare { key, ballot }, out);
+        let timer_at = now + self.config.phase_timeout;
+        self.rounds.insert(key, Round { proposal, ballot, failed_attempts, refused, timer_at, phase });
+        self.broadcast(&Message::Prepare { key, ballot }, effects);
     }
 
-    fn all(&self, message: &Message, out: &mut dyn Effects) {
+    fn broadcast(&self, message: &Message, effects: &mut dyn Effects) {
         for member in &self.config.councillors {
-            out.send(*member, message);
+            effects.send(*member, message);
         }
     }
 
-    pub fn on_timer(&mut self, now: Ms, out: &mut dyn Effects) {
-        let due: Vec<Key> = self.rounds.iter().filter(|(_, r)| r.bell <= now).map(|(key, _)| *key).collect();
-        for key in due {
+    /// Handles expired phases, back-offs and deadlines.
+    pub fn on_timer(&mut self, now: Ms, effects: &mut dyn Effects) {
+        let due_keys: Vec<Key> =
+            self.rounds.iter().filter(|(_, round)| round.timer_at <= now).map(|(key, _)| *key).collect();
+        for key in due_keys {
             let Some(round) = self.rounds.remove(&key) else { continue };
-            if round.job.until <= now {
-                tell(&round.job, Outcome::Unanswered, out);
-                self.following(now, key, out);
+            if round.proposal.deadline <= now {
+                send_answer(&round.proposal, Outcome::Unanswered, effects);
+                self.start_next_queued(now, key, effects);
             } else if round.phase == Phase::Waiting {
-                self.start(now, key, round.job, round.tries, out);
+                self.start(now, key, round.proposal, round.failed_attempts, effects);
             } else {
                 self.rounds.insert(key, round);
                 self.back_off(now, key);
@@ -104,33 +121,37 @@
         }
     }
 
-    /// By chance, so that two that duel part. Symptom without that: both refuse each other for ever.
+    /// Waits for a random time; otherwise two competing proposers could refuse each other for ever.
     fn back_off(&mut self, now: Ms, key: Key) {
-        let part = self.chance.part();
+        let fraction = self.chance.part();
         let Some(round) = self.rounds.get_mut(&key) else { return };
-        let most = self.config.first_back_off * f64::from(1 << round.tries.min(DOUBLINGS));
-        round.tries += 1;
+        let max_delay =
+            self.config.first_back_off * f64::from(1 << round.failed_attempts.min(MAX_BACK_OFF_DOUBLINGS));
+        round.failed_attempts += 1;
         round.phase = Phase::Waiting;
-        round.bell = now + most * part;
+        round.timer_at = now + max_delay * fraction;
     }
 
-    /// The next that waits for that key, if any still does.
-    fn following(&mut self, now: Ms, key: Key, out: &mut dyn Effects) {
-        while let Some(job) = self.queues.get_mut(&key).and_then(VecDeque::pop_front) {
-            if job.until > now {
-                return self.start(now, key, job, 0, out);
+    /// Starts the next queued proposal of that key that has not reached its deadline.
+    fn start_next_queued(&mut self, now: Ms, key: Key, effects: &mut dyn Effects) {
+        while let Some(proposal) = self.queues.get_mut(&key).and_then(VecDeque::pop_front) {
+            if proposal.deadline > now {
+                return self.start(now, key, proposal, 0, effects);
             }
-            tell(&job, Outcome::Unanswered, out);
+            send_answer(&proposal, Outcome::Unanswered, effects);
         }
         self.queues.remove(&key);
     }
 
-    pub fn on_message(&mut self, now: Ms, from: MemberId, message: &Message, out: &mut dyn Effects) {
+    /// Handles the acceptors' replies.
+    pub fn on_message(&mut self, now: Ms, from: MemberId, message: &Message, effects: &mut dyn Effects) {
         match message {
             Message::Promise { key, ballot, accepted, view } => {
-                self.promise(now, (from, *key, *ballot), accepted, view, out);
+                self.promise(now, (from, *key, *ballot), accepted, view, effects);
+            }
+            Message::Accepted { key, ballot, view } => {
+                self.accepted(now, (from, *key, *ballot), view, effects)
             }
-            Message::Accepted { key, ballot, view } => self.accepted(now, (from, *key, *ballot), view, out),
             Message::Refused { key, ballot, promised } => self.refused(now, (from, *key, *ballot), *promised),
             _ => {}
         }
@@ -146,30 +167,31 @@
         (from, key, ballot): (MemberId, Key, Ballot),
         accepted: &Option<(Ballot, Value)>,
         view: &GenerationView,
-        out: &mut dyn Effects,
+        effects: &mut dyn Effects,
     ) {
-        let (rules, majority, wait) = (self.rules(), self.config.majority(), self.config.phase_timeout);
+        let (rules, majority, phase_timeout) =
+            (self.rules(), self.config.majority(), self.config.phase_timeout);
         let Some(round) = self.round(key, ballot) else { return };
         let Phase::Preparing(promises) = &mut round.phase else { return };
-        let held = promises
+        let promise = promises
             .entry(from)
             .or_insert_with(|| Promised { view: view.clone(), accepted: accepted.clone() });
-        crate::quorum::hear(&mut held.view, view);
-        held.accepted = held.accepted.take().max(accepted.clone());
-        let voices = promises.iter().map(|(member, promised)| (*member, &promised.view));
-        for (member, known) in crate::quorum::outdated(voices) {
-            out.send(member, &Message::Outdated { known });
+        crate::quorum::merge_view(&mut promise.view, view);
+        promise.accepted = promise.accepted.take().max(accepted.clone());
+        let views = promises.iter().map(|(member, promised)| (*member, &promised.view));
+        for (member, known) in crate::quorum::outdated(views) {
+            effects.send(member, &Message::Outdated { known });
         }
         if rules.count(promises.iter().map(|(member, promised)| (*member, &promised.view))) < majority {
             return;
         }
-        match round::next(&round.job, promises, majority, rules) {
-            Next::Tell(outcome) => self.end(now, key, outcome, out),
-            Next::Write { value, done } => {
-                round.phase = Phase::Accepting { value: value.clone(), voices: BTreeMap::new(), done };
-                round.bell = now + wait;
+        match round::decide(&round.proposal, promises, majority, rules) {
+            Decision::Answer(outcome) => self.finish_round(now, key, outcome, effects),
+            Decision::Write { value, done } => {
+                round.phase = Phase::Accepting { value: value.clone(), views: BTreeMap::new(), done };
+                round.timer_at = now + phase_timeout;
                 round.refused.clear();
-                self.all(&Message::Accept { key, ballot, value }, out);
+                self.broadcast(&Message::Accept { key, ballot, value }, effects);
             }
         }
     }
@@ -179,53 +201,48 @@
         now: Ms,
         (from, key, ballot): (MemberId, Key, Ballot),
         view: &GenerationView,
-        out: &mut dyn Effects,
+        effects: &mut dyn Effects,
     ) {
         let (rules, majority) = (self.rules(), self.config.majority());
         let Some(round) = self.round(key, ballot) else { return };
-        let Phase::Accepting { value, voices, done } = &mut round.phase else { return };
-        crate::quorum::hear(voices.entry(from).or_insert_with(|| view.clone()), view);
-        if rules.count(voices.iter().map(|(member, view)| (*member, view))) < majority {
+        let Phase::Accepting { value, views, done } = &mut round.phase else { return };
+        crate::quorum::merge_view(views.entry(from).or_insert_with(|| view.clone()), view);
+        if rules.count(views.iter().map(|(member, view)| (*member, view))) < majority {
             return;
         }
         let (value, done) = (value.clone(), *done);
         let outcome = if done { Outcome::Chosen(value) } else { Outcome::Current(Some(value)) };
-        self.end(now, key, outcome, out);
+        self.finish_round(now, key, outcome, effects);
     }
 
-    /// One refusal stops nothing while a majority can still agree.
+    /// A round is abandoned only once the refusals leave no majority.
     fn refused(&mut self, now: Ms, (from, key, ballot): (MemberId, Key, Ballot), promised: Ballot) {
         self.highest = self.highest.max(promised.number);
-        let spare = self.config.councillors.len() - self.config.majority();
+        let tolerated_refusals = self.config.councillors.len() - self.config.majority();
         let Some(round) = self.round(key, ballot) else { return };
         round.refused.insert(from);
-        if round.refused.len() > spare && round.phase != Phase::Waiting {
+        if round.refused.len() > tolerated_refusals && round.phase != Phase::Waiting {
             self.back_off(now, key);
         }
     }
 
-    fn end(&mut self, now: Ms, key: Key, outcome: Outcome, out: &mut dyn Effects) {
+    fn finish_round(&mut self, now: Ms, key: Key, outcome: Outcome, effects: &mut dyn Effects) {
         let Some(round) = self.rounds.remove(&key) else { return };
         if let Outcome::Chosen(value) | Outcome::Current(Some(value)) = &outcome {
-            self.all(&Message::Learned { key, value: value.clone() }, out);
+            self.broadcast(&Message::Learned { key, value: value.clone() }, effects);
         }
-        tell(&round.job, outcome, out);
-        self.following(now, key, out);
+        send_answer(&round.proposal, outcome, effects);
+        self.start_next_queued(now, key, effects);
     }
 
-    fn rules(&self) -> Rules {
+    fn rules(&self) -> RoundRules {
         #[cfg(any(test, feature = "sabotage"))]
-        return Rules {
-            highest: self.guards.adopt_highest,
-            memories: self.guards.discard_lost_generations,
-            write_back: self.guards.write_back,
-            once: self.guards.deduplicate_requests,
-        };
+        return RoundRules::from(self.guards);
         #[cfg(not(any(test, feature = "sabotage")))]
-        Rules { highest: true, memories: true, write_back: true, once: true }
+        RoundRules::ALL
     }
 }
 
-fn tell(job: &Job, outcome: Outcome, out: &mut dyn Effects) {
-    out.send(job.reply, &Message::Answer { request: job.request, outcome });
+fn send_answer(proposal: &Proposal, outcome: Outcome, effects: &mut dyn Effects) {
+    effects.send(proposal.reply_to, &Message::Answer { request: proposal.request, outcome });
 }
--- a/consensus/src/quorum.rs
+++ b/consensus/src/quorum.rs
@@ -1,4 +1,4 @@
-//! Which answers count together.
+//! Which answers count towards one majority, given that stores can be lost.
 
 use std::collections::BTreeMap;
 
@@ -7,47 +7,51 @@
 use crate::message::GenerationView;
 use crate::types::{StoreGeneration, StoreGenerations};
 
-/// Of these, how many speak from a memory that none of them knows to be lost. Symptom without that: an accept
-/// from before a loss completes a majority with one from after the recovery that did not hear of it, and what was
-/// told as chosen is held by a minority alone.
-pub fn agreeing<'a>(voices: impl Iterator<Item = (MemberId, &'a GenerationView)> + Clone) -> Vec<MemberId> {
-    let known = known(voices.clone().map(|(_, view)| view));
-    voices
+/// The members whose stated store generation none of the views knows to be lost. Without this check, an accept from
+/// before a loss and one from after the recovery that had not heard of it would complete a majority, and a value
+/// reported as chosen would be held by a minority only.
+pub fn members_with_live_stores<'a>(
+    views: impl Iterator<Item = (MemberId, &'a GenerationView)> + Clone,
+) -> Vec<MemberId> {
+    let known = latest_known(views.clone().map(|(_, view)| view));
+    views
         .filter(|(member, view)| known.get(member) <= Some(&view.generation))
         .map(|(member, _)| member)
         .collect()
 }
 
-/// Whose memory another knows a later one of, and which. Told of it, one that is sound raises its number. Symptom
-/// without that: a number kept by a recovery that was cut off makes a sound councillor count nowhere, for ever.
+/// The members of which another view knows a later store generation, with that generation. A participating member
+/// that is told of it raises its own generation. Otherwise a generation persisted by an interrupted recovery would
+/// exclude a participating councillor from every majority for ever.
 pub fn outdated<'a>(
-    voices: impl Iterator<Item = (MemberId, &'a GenerationView)> + Clone,
+    views: impl Iterator<Item = (MemberId, &'a GenerationView)> + Clone,
 ) -> Vec<(MemberId, StoreGeneration)> {
-    let known = known(voices.clone().map(|(_, view)| view));
+    let known = latest_known(views.clone().map(|(_, view)| view));
     let later = |(member, view): (MemberId, &GenerationView)| {
         known.get(&member).filter(|known| **known > view.generation).map(|known| (member, *known))
     };
-    voices.filter_map(later).collect()
+    views.filter_map(later).collect()
 }
 
-/// The latest memory of each that any of them knows.
-pub fn known<'a>(voices: impl Iterator<Item = &'a GenerationView>) -> StoreGenerations {
+/// The latest store generation of each member that any of the views knows.
+pub fn latest_known<'a>(views: impl Iterator<Item = &'a GenerationView>) -> StoreGenerations {
     let mut known = BTreeMap::new();
-    for view in voices {
-        merge(&mut known, &view.known);
+    for view in views {
+        merge_latest(&mut known, &view.known);
     }
     known
 }
 
-pub fn merge(known: &mut StoreGenerations, more: &StoreGenerations) {
+/// Adds `more` to `known` and keeps the later generation of each member.
+pub fn merge_latest(known: &mut StoreGenerations, more: &StoreGenerations) {
     for (member, generation) in more {
         let held = known.entry(*member).or_insert(StoreGeneration(0));
         *held = (*held).max(*generation);
     }
 }
 
-/// One more answer of the same member: the later memory stands, what was known is not forgotten.
-pub fn hear(view: &mut GenerationView, more: &GenerationView) {
+/// Merges a further view of the same member: the later own generation is kept, and known generations accumulate.
+pub fn merge_view(view: &mut GenerationView, more: &GenerationView) {
     view.generation = view.generation.max(more.generation);
-    merge(&mut view.known, &more.known);
+    merge_latest(&mut view.known, &more.known);
 }
--- a/consensus/src/round.rs
+++ b/consensus/src/round.rs
@@ -1,4 +1,4 @@
-//! One round of one register: what it found and what it may propose.
+//! One round on one register: its state, and what it does after the first phase.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,97 +9,127 @@
 use crate::quorum;
 use crate::types::{Ballot, Change, Outcome, RequestId, Value};
 
-/// A change asked for, and whom to answer.
+/// A requested change and the member to answer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Job {
+pub struct Proposal {
+    /// Identifies the request across retries.
     pub request: RequestId,
-    pub reply: MemberId,
+    /// The member to answer.
+    pub reply_to: MemberId,
     pub change: Change,
-    pub until: Ms,
+    /// When the councillor gives up on it.
+    pub deadline: Ms,
 }
 
+/// Where a round stands.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
-    /// Backing off until the bell.
+    /// Backing off until the timer expires.
     Waiting,
+    /// Phase 1: collecting promises.
     Preparing(BTreeMap<MemberId, Promised>),
-    Accepting {
-        value: Value,
-        voices: BTreeMap<MemberId, GenerationView>,
-        done: bool,
-    },
+    /// Phase 2: collecting acceptances. `done`: the value is the request's own change.
+    Accepting { value: Value, views: BTreeMap<MemberId, GenerationView>, done: bool },
 }
 
+/// What one acceptor promised with.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Promised {
     pub view: GenerationView,
     pub accepted: Option<(Ballot, Value)>,
 }
 
+/// A round under way.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Round {
-    pub job: Job,
+    pub proposal: Proposal,
     pub ballot: Ballot,
-    pub tries: u32,
+    pub failed_attempts: u32,
+    /// Acceptors that refused the current phase.
     pub refused: BTreeSet<MemberId>,
-    pub bell: Ms,
+    /// When the phase times out or the back-off ends.
+    pub timer_at: Ms,
     pub phase: Phase,
 }
 
 /// What a round does after its first phase.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Next {
-    Tell(Outcome),
-    /// Write this; `done`: the request's own change.
-    Write {
-        value: Value,
-        done: bool,
-    },
+pub(crate) enum Decision {
+    /// Answers the request without a second phase.
+    Answer(Outcome),
+    /// Runs the second phase with this value. `done`: it is the request's own change.
+    Write { value: Value, done: bool },
 }
 
-/// What rules a round; all true but in tests that take one out.
+/// The guards that apply to a round. All are true except in tests that remove one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Rules {
-    pub highest: bool,
-    pub memories: bool,
+pub(crate) struct RoundRules {
+    pub adopt_highest: bool,
+    pub discard_lost_generations: bool,
     pub write_back: bool,
-    pub once: bool,
+    pub deduplicate_requests: bool,
 }
 
-impl Rules {
-    pub fn count<'a>(self, voices: impl Iterator<Item = (MemberId, &'a GenerationView)> + Clone) -> usize {
-        if !self.memories {
-            return voices.count();
+#[cfg(any(test, feature = "sabotage"))]
+impl From<crate::guards::Guards> for RoundRules {
+    fn from(guards: crate::guards::Guards) -> RoundRules {
+        RoundRules {
+            adopt_highest: guards.adopt_highest,
+            discard_lost_generations: guards.discard_lost_generations,
+            write_back: guards.write_back,
+            deduplicate_requests: guards.deduplicate_requests,
         }
-        quorum::agreeing(voices).len()
     }
 }
 
-/// After a majority's promises: the change function applied to the highest accepted value.
-pub(crate) fn next(
-    job: &Job,
+impl RoundRules {
+    /// All guards active.
+    #[cfg(not(any(test, feature = "sabotage")))]
+    pub const ALL: RoundRules = RoundRules {
+        adopt_highest: true,
+        discard_lost_generations: true,
+        write_back: true,
+        deduplicate_requests: true,
+    };
+
+    /// How many of the views count towards one majority.
+    pub fn count<'a>(self, views: impl Iterator<Item = (MemberId, &'a GenerationView)> + Clone) -> usize {
+        if !self.discard_lost_generations {
+            return views.count();
+        }
+        quorum::members_with_live_stores(views).len()
+    }
+}
+
+/// Decides after a majority of promises: applies the change to the accepted value of the highest ballot.
+pub(crate) fn decide(
+    proposal: &Proposal,
     promises: &BTreeMap<MemberId, Promised>,
     majority: usize,
-    rules: Rules,
-) -> Next {
+    rules: RoundRules,
+) -> Decision {
     let accepted = || promises.values().filter_map(|promised| promised.accepted.as_ref());
-    let found = if rules.highest { accepted().max() } else { accepted().min() };
+    let found = if rules.adopt_highest { accepted().max() } else { accepted().min() };
     let settled = found.is_some_and(|(ballot, _)| {
-        let same = promises.iter().filter(|(_, p)| p.accepted.as_ref().is_some_and(|(b, _)| b == ballot));
+        let same = promises.iter().filter(|(_, promise)| {
+            promise.accepted.as_ref().is_some_and(|(accepted_ballot, _)| accepted_ballot == ballot)
+        });
         rules.count(same.map(|(member, promised)| (*member, &promised.view))) >= majority
     });
     let current = found.map(|(_, value)| value.clone());
-    let own = rules.once && current.as_ref().is_some_and(|value| value.request == job.request);
+    let own =
+        rules.deduplicate_requests && current.as_ref().is_some_and(|value| value.request == proposal.request);
     let revision = current.as_ref().map_or(0, |value| value.revision);
-    match (&job.change, current) {
-        // A retry finds its own change. Symptom without that: it is told to have come too late.
-        (Change::Set { .. }, Some(value)) if own => Next::Write { value, done: true },
+    match (&proposal.change, current) {
+        // A retry recognizes its own change; otherwise it would be answered as if it had come too late.
+        (Change::Set { .. }, Some(value)) if own => Decision::Write { value, done: true },
         (Change::Set { if_revision, body }, _) if *if_revision == revision => {
-            let value = Value { revision: revision + 1, request: job.request, body: body.clone() };
-            Next::Write { value, done: true }
+            let value = Value { revision: revision + 1, request: proposal.request, body: body.clone() };
+            Decision::Write { value, done: true }
         }
-        // Perhaps a minority alone holds it. Symptom if told unwritten: a later read does not see it.
-        (_, Some(value)) if rules.write_back && !settled => Next::Write { value, done: false },
-        (_, current) => Next::Tell(Outcome::Current(current)),
+        // Perhaps only a minority holds the value. If it were reported without being written back, a later read
+        // might not see it.
+        (_, Some(value)) if rules.write_back && !settled => Decision::Write { value, done: false },
+        (_, current) => Decision::Answer(Outcome::Current(current)),
     }
 }
--- a/consensus/src/tests/sizes.rs
+++ b/consensus/src/tests/message_sizes.rs
@@ -1,11 +1,11 @@
-//! The greatest messages fit in what members carry.
+//! The largest messages fit in one datagram between members.
 
 use test_case::test_case;
 
 use crate::message::GenerationView;
 use crate::*;
 
-const MOST: usize = 900;
+const MAX_MESSAGE_BYTES: usize = 900;
 const KEY: Key = Key::Order(u16::MAX);
 const ID: RequestId = RequestId { member: MemberId(u64::MAX), life: Life(u64::MAX), number: u64::MAX };
 
@@ -14,17 +14,17 @@
 }
 
 fn value() -> Value {
-    Value { revision: u64::MAX, request: ID, body: vec![255; BODY_MOST] }
+    Value { revision: u64::MAX, request: ID, body: vec![255; MAX_BODY_BYTES] }
 }
 
-/// Of seven councillors.
+/// The largest view, in a council of seven.
 fn view() -> GenerationView {
     let known = (0..7).map(|member| (MemberId(u64::MAX - member), StoreGeneration(u64::MAX))).collect();
     GenerationView { generation: StoreGeneration(u64::MAX), known }
 }
 
 fn change() -> Change {
-    Change::Set { if_revision: u64::MAX, body: vec![255; BODY_MOST] }
+    Change::Set { if_revision: u64::MAX, body: vec![255; MAX_BODY_BYTES] }
 }
 
 fn page() -> Vec<(Key, Register)> {
@@ -43,8 +43,8 @@
 })]
 #[test_case(Message::Fetch { after: Some(KEY), up_to: Some(KEY), known_revisions: vec![(KEY, u64::MAX); 50] })]
 #[test_case(Message::Found { values: vec![(KEY, value())], more: Some(KEY) })]
-fn fits(message: Message) {
+fn largest_messages_fit_in_a_datagram(message: Message) {
     let bytes = postcard::to_allocvec(&message).unwrap();
-    assert!(bytes.len() <= MOST, "{} bytes", bytes.len());
+    assert!(bytes.len() <= MAX_MESSAGE_BYTES, "{} bytes", bytes.len());
     assert_eq!(postcard::from_bytes::<Message>(&bytes).unwrap(), message);
 }
--- a/consensus/src/tests/mod.rs
+++ b/consensus/src/tests/mod.rs
@@ -1,10 +1,11 @@
-//! Councillors in a simulated network with simulated disks.
+//! Tests of single state machines, and of councils in a simulated network with simulated disks.
 
+mod checker;
+mod faults;
 mod founding;
 mod guards;
 mod histories;
-mod judge;
-mod plain;
-mod sim;
-mod sizes;
-mod times;
+mod latency;
+mod message_sizes;
+mod simulation;
+mod state_machines;
--- a/consensus/src/types.rs
+++ b/consensus/src/types.rs
@@ -1,4 +1,4 @@
-//! What is agreed on, and what is kept of it.
+//! The registers' keys and values, and the state that a councillor persists.
 
 use std::collections::BTreeMap;
 
@@ -6,39 +6,41 @@
 
 use ottersail_membership::{Life, MemberId};
 
-/// Bytes of a value's body at most, so that a promise with every councillor's memory fits in 900 bytes.
-pub const BODY_MOST: usize = 600;
+/// Maximum length of a value's body in bytes. A promise that also carries every councillor's store generation
+/// then fits in a message of 900 bytes.
+pub const MAX_BODY_BYTES: usize = 600;
 
-/// Which register.
+/// Identifies a register.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Key {
-    /// What is fixed at the founding.
+    /// The configuration that is fixed when the council is founded.
     Founding,
     /// One bucket of slots.
     Slots(u8),
-    /// An operator's or a later layer's order.
+    /// An operator's order or the state that belongs to it.
     Order(u16),
 }
 
-/// One member's one request; the same at each retry, whichever councillor is asked.
+/// Identifies one request of one member. It stays the same at each retry, whichever councillor is asked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId {
     pub member: MemberId,
     pub life: Life,
+    /// Chosen by the member, unique within its life.
     pub number: u64,
 }
 
-/// What a register holds. One value per key and revision.
+/// The content of a register. There is exactly one value per key and revision.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Value {
-    /// 1 for the first, one more at each change.
+    /// Starts at 1 and grows by one with each change.
     pub revision: u64,
-    /// The request that made it, so that a retry finds its own work done and does not do it twice.
+    /// The request that made this change, so that a retry of it is recognized and not applied twice.
     pub request: RequestId,
     pub body: Vec<u8>,
 }
 
-/// The order of rounds: the greater number wins, the proposer and its life part equals.
+/// Orders the rounds: the greater number wins; the proposer and its life break ties.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
     pub number: u64,
@@ -46,52 +48,56 @@
     pub life: Life,
 }
 
-/// Which store a councillor stands on. The upper 16 bits count the losses the others knew of, the lower 48 are drawn
-/// when the store is created; of two memories of one councillor the lesser is lost.
+/// Identifies one incarnation of a councillor's store, so that a lost and recreated store is noticed. The upper
+/// 16 bits count the losses that the other councillors knew of, the lower 48 bits are drawn at random when the
+/// store is created. Of two generations of one councillor, the lesser is lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StoreGeneration(pub u64);
 
 impl StoreGeneration {
-    pub fn drawn(chance: u64) -> StoreGeneration {
-        StoreGeneration(chance & 0xffff_ffff_ffff)
+    /// A first generation from 64 random bits.
+    pub fn drawn(random: u64) -> StoreGeneration {
+        StoreGeneration(random & 0xffff_ffff_ffff)
     }
 
-    /// The same draw, above that other.
+    /// The same random bits with a loss count above that of `other`.
     pub fn above(self, other: StoreGeneration) -> StoreGeneration {
         StoreGeneration((((other.0 >> 48) + 1) << 48) | (self.0 & 0xffff_ffff_ffff))
     }
 }
 
-/// Each councillor's memory, as far as known.
+/// The latest known store generation of each councillor.
 pub type StoreGenerations = BTreeMap<MemberId, StoreGeneration>;
 
-/// What an acceptor holds of one key.
+/// An acceptor's state for one key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Register {
-    /// No ballot below this is promised or accepted any more.
+    /// No lower ballot is promised or accepted any more.
     pub promised: Ballot,
+    /// The value accepted last, with its ballot.
     pub accepted: Option<(Ballot, Value)>,
 }
 
-/// One thing to keep on disk; those of one wish are kept all or none.
+/// One record to persist. The records of one request to persist are written atomically.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Record {
     Register(Key, Register),
-    /// That councillor now stands on that memory.
+    /// Another councillor's latest known store generation.
     PeerGeneration(MemberId, StoreGeneration),
-    /// The memory this store stands on, raised when the others knew a later one.
+    /// This store's own generation; raised when the others know a later one.
     OwnGeneration(StoreGeneration),
-    /// The memories of all at the founding, as this councillor saw them; written once per memory.
+    /// The store generations of all councillors at the founding as this one saw them; written once per
+    /// generation.
     Founders(StoreGenerations),
-    /// From here on this councillor takes part.
+    /// This councillor participates from here on.
     Participating,
 }
 
-/// All that a store holds, read at the start.
+/// The whole content of a store, read at the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StoredState {
     pub generation: StoreGeneration,
-    /// Whether the founding or a recovery has been gone through.
+    /// Whether the founding or a recovery has been completed.
     pub participating: bool,
     pub founders: Option<StoreGenerations>,
     pub known: StoreGenerations,
@@ -99,16 +105,17 @@
 }
 
 impl StoredState {
-    /// A store just created.
+    /// The content of a newly created store.
     pub fn new(generation: StoreGeneration) -> StoredState {
         StoredState { generation, ..StoredState::default() }
     }
 
-    /// What was accepted last there; whether it is chosen is not known here.
+    /// The value accepted last in that register. Whether it is chosen is not known here.
     pub fn accepted(&self, key: Key) -> Option<&Value> {
         self.registers.get(&key)?.accepted.as_ref().map(|(_, value)| value)
     }
 
+    /// Updates the state with a record that has been persisted.
     pub fn apply(&mut self, record: &Record) {
         match record {
             Record::Register(key, register) => {
@@ -127,27 +134,25 @@
     }
 }
 
-/// What is asked of a register.
+/// A request to a register.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Change {
+    /// Returns the chosen value.
     Read,
-    /// If the revision is this (0: nothing there yet), then this body.
-    Set {
-        if_revision: u64,
-        body: Vec<u8>,
-    },
+    /// Compare and set: writes `body` if the register is at `if_revision` (0 for an empty register).
+    Set { if_revision: u64, body: Vec<u8> },
 }
 
-/// What came of a request.
+/// The result of a request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The change is chosen: it can't be lost while a majority keeps its memory.
+    /// The change is chosen. It cannot be lost while a majority of councillors keeps its stores.
     Chosen(Value),
-    /// The answer to a read, or to a change whose revision was another: what is chosen now. A retried change
-    /// that was chosen and then followed by another is answered so too.
+    /// The value chosen now, in answer to a read or to a change whose expected revision did not match. A retried
+    /// change that was chosen and then followed by another one is answered like this too.
     Current(Option<Value>),
-    /// No answer in time: chosen or not, nobody knows yet. Asking again under the same number is safe.
+    /// No answer in time; the change may or may not be chosen. Retrying under the same number is safe.
     Unanswered,
-    /// Never tried: the body is too long or too many wait for that key.
+    /// Not attempted: the body is too long or too many requests wait.
     Rejected,
 }
--- a/register/examples/keeps.rs
+++ b/register/examples/persist_timing.rs
@@ -1,4 +1,5 @@
-//! Times synced keeps and opening: `cargo run --release -p ottersail-register --example keeps -- FOLDER [KEEPS]`.
+//! Measures synced writes and opening:
+//! `cargo run --release -p ottersail-register --example persist_timing -- FOLDER [WRITES]`.
 
 use std::sync::atomic::Ordering;
 use std::time::Instant;
@@ -17,14 +18,14 @@
 fn main() -> Result<(), RegisterError> {
     let mut words = std::env::args().skip(1);
     let folder = words.next().unwrap_or_else(|| ".".to_owned());
-    let keeps: u64 = words.next().and_then(|word| word.parse().ok()).unwrap_or(2000).max(1);
+    let writes: u64 = words.next().and_then(|word| word.parse().ok()).unwrap_or(2000).max(1);
     let path = std::path::Path::new(&folder).join("keeps-measured");
     let (store, _) = Store::open(&path, StoreGeneration(1))?;
     for group in [1, 8] {
         let (bytes, syncs) =
             (store.counters().bytes.load(Ordering::Relaxed), store.counters().syncs.load(Ordering::Relaxed));
         let mut spans = Vec::new();
-        for turn in 0..keeps {
+        for turn in 0..writes {
             let records: Vec<Record> = (0..group).map(|at| record(turn * group + at)).collect();
             let begun = Instant::now();
             store.persist(&records)?;
@@ -33,12 +34,12 @@
         spans.sort_by(f64::total_cmp);
         let at = |part: f64| spans[((spans.len() - 1) as f64 * part) as usize];
         println!(
-            "{keeps} keeps of {group}: median {:.2} ms, p99 {:.2} ms, most {:.2} ms; {} bytes and {:.1} syncs each",
+            "{writes} writes of {group}: median {:.2} ms, p99 {:.2} ms, most {:.2} ms; {} bytes and {:.1} syncs each",
             at(0.5),
             at(0.99),
             at(1.0),
-            (store.counters().bytes.load(Ordering::Relaxed) - bytes) / keeps,
-            (store.counters().syncs.load(Ordering::Relaxed) - syncs) as f64 / keeps as f64,
+            (store.counters().bytes.load(Ordering::Relaxed) - bytes) / writes,
+            (store.counters().syncs.load(Ordering::Relaxed) - syncs) as f64 / writes as f64,
         );
     }
     drop(store);
--- a/register/src/codec.rs
+++ b/register/src/codec.rs
@@ -1,72 +1,73 @@
-//! Records as bytes: a key, and a body behind its checksum.
+//! Encodes records as a key and a body that is preceded by its checksum.
 
 use ottersail_consensus::{Key, Record, Register, StoreGeneration, StoreGenerations, StoredState};
 use ottersail_membership::MemberId;
 use serde::{Deserialize, Serialize};
 
+/// The key of a record in the database. Stored by the order of its variants.
 #[derive(Serialize, Deserialize)]
-enum Place {
-    StoreGeneration,
-    Sound,
-    Roll,
-    Known(MemberId),
+enum RecordKey {
+    Generation,
+    Participating,
+    Founders,
+    PeerGeneration(MemberId),
     Register(Key),
 }
 
-/// The key and the body of a record.
+/// Encodes a record as key and body.
 pub(crate) fn encode(record: &Record) -> Result<(Vec<u8>, Vec<u8>), postcard::Error> {
-    let (place, body) = match record {
-        Record::OwnGeneration(generation) => (Place::StoreGeneration, postcard::to_allocvec(generation)?),
-        Record::Participating => (Place::Sound, Vec::new()),
-        Record::Founders(founders) => (Place::Roll, postcard::to_allocvec(founders)?),
+    let (key, body) = match record {
+        Record::OwnGeneration(generation) => (RecordKey::Generation, postcard::to_allocvec(generation)?),
+        Record::Participating => (RecordKey::Participating, Vec::new()),
+        Record::Founders(founders) => (RecordKey::Founders, postcard::to_allocvec(founders)?),
         Record::PeerGeneration(member, generation) => {
-            (Place::Known(*member), postcard::to_allocvec(generation)?)
+            (RecordKey::PeerGeneration(*member), postcard::to_allocvec(generation)?)
         }
-        Record::Register(key, register) => (Place::Register(*key), postcard::to_allocvec(register)?),
+        Record::Register(key, register) => (RecordKey::Register(*key), postcard::to_allocvec(register)?),
     };
-    Ok((postcard::to_allocvec(&place)?, body))
+    Ok((postcard::to_allocvec(&key)?, body))
 }
 
-/// The key of the roll.
-pub(crate) fn founders() -> Result<Vec<u8>, postcard::Error> {
-    postcard::to_allocvec(&Place::Roll)
+/// The key of the record of the founders.
+pub(crate) fn founders_key() -> Result<Vec<u8>, postcard::Error> {
+    postcard::to_allocvec(&RecordKey::Founders)
 }
 
-/// The record that this key and body are.
-pub(crate) fn decode(place: &[u8], body: &[u8]) -> Result<Record, postcard::Error> {
-    Ok(match postcard::from_bytes(place)? {
-        Place::StoreGeneration => Record::OwnGeneration(postcard::from_bytes::<StoreGeneration>(body)?),
-        Place::Sound => Record::Participating,
-        Place::Roll => Record::Founders(postcard::from_bytes::<StoreGenerations>(body)?),
-        Place::Known(member) => Record::PeerGeneration(member, postcard::from_bytes(body)?),
-        Place::Register(key) => Record::Register(key, postcard::from_bytes::<Register>(body)?),
+/// Decodes a record from its key and body.
+pub(crate) fn decode(key: &[u8], body: &[u8]) -> Result<Record, postcard::Error> {
+    Ok(match postcard::from_bytes(key)? {
+        RecordKey::Generation => Record::OwnGeneration(postcard::from_bytes::<StoreGeneration>(body)?),
+        RecordKey::Participating => Record::Participating,
+        RecordKey::Founders => Record::Founders(postcard::from_bytes::<StoreGenerations>(body)?),
+        RecordKey::PeerGeneration(member) => Record::PeerGeneration(member, postcard::from_bytes(body)?),
+        RecordKey::Register(key) => Record::Register(key, postcard::from_bytes::<Register>(body)?),
     })
 }
 
-/// The body with the CRC-32 of key and body in front.
-pub(crate) fn seal(place: &[u8], body: &[u8]) -> Vec<u8> {
-    [&sum(place, body)[..], body].concat()
+/// Returns the body preceded by the CRC-32 of key and body.
+pub(crate) fn add_checksum(key: &[u8], body: &[u8]) -> Vec<u8> {
+    [&checksum(key, body)[..], body].concat()
 }
 
-/// The body, if its checksum holds.
-pub(crate) fn unseal<'a>(place: &[u8], sealed: &'a [u8]) -> Option<&'a [u8]> {
-    let (told, body) = sealed.split_first_chunk::<4>()?;
-    (*told == sum(place, body)).then_some(body)
+/// Returns the body if its checksum matches.
+pub(crate) fn verify_checksum<'a>(key: &[u8], checked: &'a [u8]) -> Option<&'a [u8]> {
+    let (stored, body) = checked.split_first_chunk::<4>()?;
+    (*stored == checksum(key, body)).then_some(body)
 }
 
-fn sum(place: &[u8], body: &[u8]) -> [u8; 4] {
+fn checksum(key: &[u8], body: &[u8]) -> [u8; 4] {
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(place);
+    hasher.update(key);
     hasher.update(body);
     hasher.finalize().to_le_bytes()
 }
 
-/// The memory number first: it takes the roll back, as in the machine.
-pub(crate) fn gather(records: impl Iterator<Item = Record>) -> Option<StoredState> {
-    let (mine, others): (Vec<Record>, Vec<Record>) =
+/// Builds the stored state. The own generation is applied first, since it clears the founders.
+pub(crate) fn collect_state(records: impl Iterator<Item = Record>) -> Option<StoredState> {
+    let (generation, others): (Vec<Record>, Vec<Record>) =
         records.partition(|record| matches!(record, Record::OwnGeneration(_)));
     let mut stored = StoredState::default();
-    stored.apply(mine.first()?);
+    stored.apply(generation.first()?);
     others.iter().for_each(|record| stored.apply(record));
     Some(stored)
 }
--- a/register/src/errors.rs
+++ b/register/src/errors.rs
@@ -1,38 +1,46 @@
-//! What can go wrong with the file, and what an operator can try.
+//! Errors of the council store, each with what an operator can do about it.
 
 use std::path::PathBuf;
 
 use thiserror::Error;
 
+/// Why the store cannot be opened, read or written.
 #[derive(Debug, Error)]
 pub enum RegisterError {
+    /// An I/O error.
     #[error(
-        "{path}: reading or writing the council's file failed ({source}); check the disk and the rights of the \
-         folder, then start again: nothing unconfirmed was told to others"
+        "{path}: reading or writing the council store failed ({source}); check the disk and the permissions of \
+         the folder, then restart: no unconfirmed write was reported to other members"
     )]
     Io { path: PathBuf, source: std::io::Error },
+    /// Another process holds the file's lock.
     #[error(
-        "{path}: another process has the council's file open; end the other daemon or give this one a file of \
-         its own"
+        "{path}: another process has the council store open; end the other daemon or configure a separate file \
+         for this one"
     )]
-    Busy { path: PathBuf },
+    Locked { path: PathBuf },
+    /// The file does not begin with the magic bytes.
     #[error(
-        "{path}: this is no council file (its first bytes are not a council file's); check the path in the \
-         settings, the file is left as it is"
+        "{path}: this is no council file (its first bytes are not those of one); check the path in the settings; \
+         the file was not changed"
     )]
-    Foreign { path: PathBuf },
+    NotCouncilFile { path: PathBuf },
+    /// The file was written by a newer program.
     #[error(
-        "{path}: the council's file has version {found}, this program reads up to {known}; start the newer program \
-         again, the file is left as it is"
+        "{path}: the council store has version {found}, this program reads up to version {known}; start the newer \
+         program again; the file was not changed"
     )]
-    Newer { path: PathBuf, found: u32, known: u32 },
+    NewerVersion { path: PathBuf, found: u32, known: u32 },
+    /// A checksum does not match, or the contents cannot be decoded.
     #[error(
-        "{path}: the council's file is damaged ({what}); move it away and start again: the councillor recovers \
-         from the others while a majority of them keeps its generation; never put an old copy in its place"
+        "{path}: the council store is damaged ({what}); move it away and restart: the councillor recovers from the \
+         others while a majority of them keeps its stores; never restore an old copy in its place"
     )]
     Damaged { path: PathBuf, what: String },
+    /// The record of the store's generation is missing.
     #[error(
-        "{path}: the council's file holds no generation number; move it away and start again, as after a loss"
+        "{path}: the council store holds no generation number; move it away and restart, as after the loss of a \
+         store"
     )]
-    Empty { path: PathBuf },
+    NoGeneration { path: PathBuf },
 }
--- a/register/src/file.rs
+++ b/register/src/file.rs
@@ -1,5 +1,5 @@
-//! The file: a header of our own, then the database's bytes. So a newer version is refused before anything could
-//! touch the file, and one lock holds for all of it.
+//! The file: a header followed by the database. A file of a newer version is thus refused before anything can
+//! change it, and one lock covers the whole file.
 
 use std::fs::{File, TryLockError};
 use std::io::{ErrorKind, Result};
@@ -9,43 +9,49 @@
 
 use redb::StorageBackend;
 
-/// Bytes in front of the database: one page, so that the database's pages stay on the disk's.
-pub(crate) const HEAD: u64 = 4096;
+/// Bytes in front of the database: one page, so that the database's pages stay aligned with the disk's.
+pub(crate) const HEADER_BYTES: u64 = 4096;
 const MAGIC: &[u8; 20] = b"ottersail-council-1\n";
-/// The layout of the records. 1: without checksums; 2: each behind its CRC-32.
+/// Version of the record layout. 1: without checksums; 2: each record is preceded by its CRC-32.
 pub(crate) const VERSION: u32 = 2;
 
-pub(crate) enum Head {
-    Foreign,
+/// What the header of a file says.
+pub(crate) enum Header {
+    /// The magic bytes are missing.
+    NotCouncilFile,
+    /// The checksum does not match.
     Damaged,
+    /// A valid header of that version.
     Version(u32),
 }
 
-pub(crate) fn head(version: u32) -> Vec<u8> {
-    let mut head = [&MAGIC[..], &version.to_le_bytes()].concat();
-    head.extend(crc32fast::hash(&head).to_le_bytes());
-    head.resize(HEAD as usize, 0);
-    head
+/// The header for that version: magic bytes, version and CRC-32, padded to [`HEADER_BYTES`].
+pub(crate) fn encode_header(version: u32) -> Vec<u8> {
+    let mut header = [&MAGIC[..], &version.to_le_bytes()].concat();
+    header.extend(crc32fast::hash(&header).to_le_bytes());
+    header.resize(HEADER_BYTES as usize, 0);
+    header
 }
 
-pub(crate) fn read_head(file: &File) -> Result<Head> {
+/// Reads and checks the header.
+pub(crate) fn read_header(file: &File) -> Result<Header> {
     let mut bytes = [0; 28];
     match file.read_exact_at(&mut bytes, 0) {
-        Err(error) if error.kind() == ErrorKind::UnexpectedEof => return Ok(Head::Foreign),
+        Err(error) if error.kind() == ErrorKind::UnexpectedEof => return Ok(Header::NotCouncilFile),
         other => other?,
     }
     if bytes[..20] != MAGIC[..] {
-        return Ok(Head::Foreign);
+        return Ok(Header::NotCouncilFile);
     }
     if bytes[24..] != crc32fast::hash(&bytes[..24]).to_le_bytes() {
-        return Ok(Head::Damaged);
+        return Ok(Header::Damaged);
     }
     let version = bytes[20..24].iter().rev().fold(0, |sum, byte| (sum << 8) | u32::from(*byte));
-    Ok(Head::Version(version))
+    Ok(Header::Version(version))
 }
 
-/// Whether this process alone has it now; the lock goes with the open file, a crash included.
-pub(crate) fn lock(file: &File) -> Result<bool> {
+/// Tries to lock the file for this process alone. The lock ends with the open file, also after a crash.
+pub(crate) fn try_lock(file: &File) -> Result<bool> {
     match file.try_lock() {
         Ok(()) => Ok(true),
         Err(TryLockError::WouldBlock) => Ok(false),
@@ -53,40 +59,42 @@
     }
 }
 
-/// Bytes written and syncs asked for, for the metrics.
+/// Bytes written and syncs requested, for metrics.
 #[derive(Debug, Default)]
 pub struct WriteCounters {
+    /// Bytes written.
     pub bytes: AtomicU64,
+    /// Syncs requested.
     pub syncs: AtomicU64,
 }
 
-/// The database's view: the file behind the header.
+/// The storage that the database sees: the part of the file behind the header.
 #[derive(Debug)]
-pub(crate) struct Behind {
+pub(crate) struct FileBehindHeader {
     pub file: File,
-    pub tally: Arc<WriteCounters>,
+    pub counters: Arc<WriteCounters>,
 }
 
-impl StorageBackend for Behind {
+impl StorageBackend for FileBehindHeader {
     fn len(&self) -> Result<u64> {
-        Ok(self.file.metadata()?.len().saturating_sub(HEAD))
+        Ok(self.file.metadata()?.len().saturating_sub(HEADER_BYTES))
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<()> {
-        self.file.read_exact_at(out, HEAD + offset)
+        self.file.read_exact_at(out, HEADER_BYTES + offset)
     }
 
     fn set_len(&self, len: u64) -> Result<()> {
-        self.file.set_len(HEAD + len)
+        self.file.set_len(HEADER_BYTES + len)
     }
 
     fn sync_data(&self) -> Result<()> {
-        self.tally.syncs.fetch_add(1, Ordering::Relaxed);
+        self.counters.syncs.fetch_add(1, Ordering::Relaxed);
         self.file.sync_data()
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> Result<()> {
-        self.tally.bytes.fetch_add(data.len() as u64, Ordering::Relaxed);
-        self.file.write_all_at(data, HEAD + offset)
+        self.counters.bytes.fetch_add(data.len() as u64, Ordering::Relaxed);
+        self.file.write_all_at(data, HEADER_BYTES + offset)
     }
 }
--- a/register/src/lib.rs
+++ b/register/src/lib.rs
@@ -1,5 +1,5 @@
-//! What a councillor has promised and accepted, kept on disk: one file with a header of its own and a `redb`
-//! database behind it. A record counts as kept once [`Store::persist`] has returned.
+//! The durable store of a councillor: what it has promised and accepted. One file holds a header and, behind it, a
+//! `redb` database. A record is durable once [`Store::persist`] has returned.
 
 mod codec;
 pub mod errors;
--- a/register/src/store.rs
+++ b/register/src/store.rs
@@ -1,4 +1,4 @@
-//! The store: opened or created whole, written in whole transactions.
+//! The store: opened, created and written in whole transactions.
 
 use std::fs::{self, File, OpenOptions};
 use std::os::unix::fs::FileExt;
@@ -12,180 +12,199 @@
 
 use crate::codec;
 use crate::errors::RegisterError;
-use crate::file::{self, Behind, Head, WriteCounters, HEAD, VERSION};
+use crate::file::{self, FileBehindHeader, Header, WriteCounters, HEADER_BYTES, VERSION};
 
+/// The only table: encoded keys and checksummed bodies.
 pub(crate) const RECORDS: TableDefinition<&[u8], &[u8]> = TableDefinition::new("records");
-/// Bytes of cache; a councillor's records are far fewer.
-const CACHE: usize = 1 << 20;
+/// Size of the database's cache in bytes; a councillor's records are far smaller.
+const CACHE_BYTES: usize = 1 << 20;
 
-/// A councillor's file, open and locked.
+/// A councillor's store, open and locked.
 #[derive(Debug)]
 pub struct Store {
     path: PathBuf,
-    pub(crate) base: Database,
-    tally: Arc<WriteCounters>,
+    pub(crate) database: Database,
+    counters: Arc<WriteCounters>,
 }
 
 impl Store {
-    /// Opens the file, or creates it with that memory number if there is none: to the others that is a councillor
-    /// that has lost its memory, or a new one.
+    /// Opens the file, or creates it with `new_generation` if there is none. To the other councillors a created store
+    /// means a councillor that has lost its store, or a new one.
     ///
     /// # Errors
-    /// See [`RegisterError`]; the file is left as it is unless it was whole and of this or an older version.
-    pub fn open(path: &Path, fresh: StoreGeneration) -> Result<(Store, StoredState), RegisterError> {
+    /// See [`RegisterError`]. The file is changed only if it was intact and of this or an older version.
+    pub fn open(path: &Path, new_generation: StoreGeneration) -> Result<(Store, StoredState), RegisterError> {
         let io = |source| RegisterError::Io { path: path.to_owned(), source };
         if !path.try_exists().map_err(io)? {
-            create(path, fresh)?;
+            create(path, new_generation)?;
         }
         let disk = OpenOptions::new().read(true).write(true).open(path).map_err(io)?;
-        if !file::lock(&disk).map_err(io)? {
-            return Err(RegisterError::Busy { path: path.to_owned() });
+        if !file::try_lock(&disk).map_err(io)? {
+            return Err(RegisterError::Locked { path: path.to_owned() });
         }
-        let found = match file::read_head(&disk).map_err(io)? {
-            Head::Foreign => return Err(RegisterError::Foreign { path: path.to_owned() }),
-            Head::Damaged | Head::Version(0) => {
-                return Err(damaged(path, "its header's checksum does not hold"))
+        let found = match file::read_header(&disk).map_err(io)? {
+            Header::NotCouncilFile => return Err(RegisterError::NotCouncilFile { path: path.to_owned() }),
+            Header::Damaged | Header::Version(0) => {
+                return Err(damaged(path, "the checksum of its header does not match"))
             }
-            Head::Version(found) => found,
+            Header::Version(found) => found,
         };
         if found > VERSION {
-            return Err(RegisterError::Newer { path: path.to_owned(), found, known: VERSION });
+            return Err(RegisterError::NewerVersion { path: path.to_owned(), found, known: VERSION });
         }
-        let head = disk.try_clone().map_err(io)?;
-        let store = Store::behind(path, disk)?;
+        let header_file = disk.try_clone().map_err(io)?;
+        let store = Store::with_file(path, disk)?;
         if found < VERSION {
             store.migrate()?;
-            head.write_all_at(&file::head(VERSION), 0).and_then(|()| head.sync_all()).map_err(io)?;
+            header_file
+                .write_all_at(&file::encode_header(VERSION), 0)
+                .and_then(|()| header_file.sync_all())
+                .map_err(io)?;
         }
         let stored = store.read()?;
         Ok((store, stored))
     }
 
-    fn behind(path: &Path, disk: File) -> Result<Store, RegisterError> {
-        if disk.metadata().map_or(0, |data| data.len()) <= HEAD {
+    fn with_file(path: &Path, disk: File) -> Result<Store, RegisterError> {
+        if disk.metadata().map_or(0, |data| data.len()) <= HEADER_BYTES {
             return Err(damaged(path, "it ends after its header"));
         }
-        let tally = Arc::new(WriteCounters::default());
-        let base = base(path, Behind { file: disk, tally: Arc::clone(&tally) })?;
-        Ok(Store { path: path.to_owned(), base, tally })
+        let counters = Arc::new(WriteCounters::default());
+        let database = open_database(path, FileBehindHeader { file: disk, counters: Arc::clone(&counters) })?;
+        Ok(Store { path: path.to_owned(), database, counters })
     }
 
-    /// Keeps all of these or none, in one synced transaction; when it returns they outlive a power cut. Wishes that
-    /// wait together go together, in their order.
+    /// Writes all of these records or none, in one synced transaction; once it returns they survive a power cut.
+    /// Several waiting requests can be written together, in their order.
     ///
     /// # Errors
-    /// An I/O error: whether they are kept is not known. Say nothing of them; end and start anew.
+    /// After an I/O error it is unknown whether the records are stored. The process must not report them and has to
+    /// restart.
     pub fn persist<'a>(&self, records: impl IntoIterator<Item = &'a Record>) -> Result<(), RegisterError> {
-        write(&self.path, &self.base, records)
+        write(&self.path, &self.database, records)
     }
 
     fn read(&self) -> Result<StoredState, RegisterError> {
         let mut records = Vec::new();
-        let broken = |error: &dyn std::fmt::Display| damaged(&self.path, &error.to_string());
-        let reading = self.base.begin_read().map_err(|error| broken(&error))?;
-        let table = reading.open_table(RECORDS).map_err(|error| broken(&error))?;
-        for entry in table.iter().map_err(|error| broken(&error))? {
-            let (place, sealed) = entry.map_err(|error| broken(&error))?;
-            let body = codec::unseal(place.value(), sealed.value())
-                .ok_or_else(|| damaged(&self.path, "a record's checksum does not hold"))?;
-            records.push(codec::decode(place.value(), body).map_err(|error| broken(&error))?);
+        let unreadable = |error: &dyn std::fmt::Display| damaged(&self.path, &error.to_string());
+        let transaction = self.database.begin_read().map_err(|error| unreadable(&error))?;
+        let table = transaction.open_table(RECORDS).map_err(|error| unreadable(&error))?;
+        for entry in table.iter().map_err(|error| unreadable(&error))? {
+            let (key, checked) = entry.map_err(|error| unreadable(&error))?;
+            let body = codec::verify_checksum(key.value(), checked.value())
+                .ok_or_else(|| damaged(&self.path, "the checksum of a record does not match"))?;
+            records.push(codec::decode(key.value(), body).map_err(|error| unreadable(&error))?);
         }
-        codec::gather(records.into_iter()).ok_or_else(|| RegisterError::Empty { path: self.path.clone() })
+        codec::collect_state(records.into_iter())
+            .ok_or_else(|| RegisterError::NoGeneration { path: self.path.clone() })
     }
 
-    /// From version 1: each record gets its checksum; one that has it already, after a cut in between, stays.
+    /// Migrates from version 1: adds the checksum to each record. A record that already has one, after an interrupted
+    /// migration, is unchanged.
     fn migrate(&self) -> Result<(), RegisterError> {
-        let writing = self.base.begin_write().map_err(|error| failed(&self.path, error))?;
+        let transaction = self.database.begin_write().map_err(|error| write_error(&self.path, error))?;
         {
-            let mut table = writing.open_table(RECORDS).map_err(|error| failed(&self.path, error))?;
-            let mut old = Vec::new();
-            for entry in table.iter().map_err(|error| failed(&self.path, error))? {
-                let (place, body) = entry.map_err(|error| failed(&self.path, error))?;
-                old.push((place.value().to_vec(), body.value().to_vec()));
+            let mut table =
+                transaction.open_table(RECORDS).map_err(|error| write_error(&self.path, error))?;
+            let mut entries = Vec::new();
+            for entry in table.iter().map_err(|error| write_error(&self.path, error))? {
+                let (key, body) = entry.map_err(|error| write_error(&self.path, error))?;
+                entries.push((key.value().to_vec(), body.value().to_vec()));
             }
-            for (place, body) in old.iter().filter(|(place, body)| codec::unseal(place, body).is_none()) {
-                let sealed = codec::seal(place, body);
-                table.insert(&place[..], &sealed[..]).map_err(|error| failed(&self.path, error))?;
+            for (key, body) in
+                entries.iter().filter(|(key, body)| codec::verify_checksum(key, body).is_none())
+            {
+                let checked = codec::add_checksum(key, body);
+                table.insert(&key[..], &checked[..]).map_err(|error| write_error(&self.path, error))?;
             }
         }
-        writing.commit().map_err(|error| failed(&self.path, error))
+        transaction.commit().map_err(|error| write_error(&self.path, error))
     }
 
-    /// Bytes written and syncs since it was opened.
+    /// Bytes written and syncs since the store was opened.
     pub fn counters(&self) -> &WriteCounters {
-        &self.tally
+        &self.counters
     }
 }
 
+/// The error for a damaged store.
 pub(crate) fn damaged(path: &Path, what: &str) -> RegisterError {
     RegisterError::Damaged { path: path.to_owned(), what: what.to_owned() }
 }
 
-fn failed(path: &Path, error: impl Into<redb::Error>) -> RegisterError {
+/// Converts a database error.
+fn write_error(path: &Path, error: impl Into<redb::Error>) -> RegisterError {
     match error.into() {
         redb::Error::Io(source) => RegisterError::Io { path: path.to_owned(), source },
         other => damaged(path, &other.to_string()),
     }
 }
 
-/// The database behind a header, each page's checksum gone through.
-pub(crate) fn base(path: &Path, backend: impl StorageBackend) -> Result<Database, RegisterError> {
+/// Opens the database and verifies the checksum of every page.
+pub(crate) fn open_database(path: &Path, backend: impl StorageBackend) -> Result<Database, RegisterError> {
     Builder::new()
-        .set_cache_size(CACHE)
+        .set_cache_size(CACHE_BYTES)
         .set_check_integrity_on_open(true)
         .create_with_backend(backend)
         .map_err(|error| match error {
-            DatabaseError::DatabaseAlreadyOpen => RegisterError::Busy { path: path.to_owned() },
-            other => failed(path, other),
+            DatabaseError::DatabaseAlreadyOpen => RegisterError::Locked { path: path.to_owned() },
+            other => write_error(path, other),
         })
 }
 
+/// Writes the records in one synced transaction.
 pub(crate) fn write<'a>(
     path: &Path,
-    base: &Database,
+    database: &Database,
     records: impl IntoIterator<Item = &'a Record>,
 ) -> Result<(), RegisterError> {
-    let writing = base.begin_write().map_err(|error| failed(path, error))?;
+    let transaction = database.begin_write().map_err(|error| write_error(path, error))?;
     {
-        let mut table = writing.open_table(RECORDS).map_err(|error| failed(path, error))?;
+        let mut table = transaction.open_table(RECORDS).map_err(|error| write_error(path, error))?;
         for record in records {
-            let (place, body) = codec::encode(record).map_err(|error| damaged(path, &error.to_string()))?;
-            let sealed = codec::seal(&place, &body);
-            table.insert(&place[..], &sealed[..]).map_err(|error| failed(path, error))?;
-            // A memory of another number has kept no roll yet.
+            let (key, body) = codec::encode(record).map_err(|error| damaged(path, &error.to_string()))?;
+            let checked = codec::add_checksum(&key, &body);
+            table.insert(&key[..], &checked[..]).map_err(|error| write_error(path, error))?;
+            // A store of another generation has no founders yet.
             if matches!(record, Record::OwnGeneration(_)) {
-                let founders = codec::founders().map_err(|error| damaged(path, &error.to_string()))?;
-                table.remove(&founders[..]).map_err(|error| failed(path, error))?;
+                let founders_key =
+                    codec::founders_key().map_err(|error| damaged(path, &error.to_string()))?;
+                table.remove(&founders_key[..]).map_err(|error| write_error(path, error))?;
             }
         }
     }
-    writing.commit().map_err(|error| failed(path, error))
+    transaction.commit().map_err(|error| write_error(path, error))
 }
 
-/// Under another name first, so that a cut leaves either no file or a whole one.
-fn create(path: &Path, fresh: StoreGeneration) -> Result<(), RegisterError> {
+/// Creates the file under a temporary name and renames it, so that a crash leaves either no file or a complete one.
+fn create(path: &Path, new_generation: StoreGeneration) -> Result<(), RegisterError> {
     let io = |source| RegisterError::Io { path: path.to_owned(), source };
     let mut name = path.as_os_str().to_owned();
     name.push(".new");
-    let draft = PathBuf::from(name);
-    let disk =
-        OpenOptions::new().read(true).write(true).create(true).truncate(false).open(&draft).map_err(io)?;
-    // Two that start at once: the second must not put its draft over the first one's open file.
-    if !file::lock(&disk).map_err(io)? {
-        return Err(RegisterError::Busy { path: path.to_owned() });
+    let temporary = PathBuf::from(name);
+    let disk = OpenOptions::new()
+        .read(true)
+        .write(true)
+        .create(true)
+        .truncate(false)
+        .open(&temporary)
+        .map_err(io)?;
+    // If two processes start at once, the second must not rename its temporary file over the first one's open file.
+    if !file::try_lock(&disk).map_err(io)? {
+        return Err(RegisterError::Locked { path: path.to_owned() });
     }
     if path.try_exists().map_err(io)? {
         return Ok(());
     }
     disk.set_len(0).map_err(io)?;
-    disk.write_all_at(&file::head(VERSION), 0).map_err(io)?;
-    let sync = disk.try_clone().map_err(io)?;
+    disk.write_all_at(&file::encode_header(VERSION), 0).map_err(io)?;
+    let file = disk.try_clone().map_err(io)?;
     {
-        let base = base(path, Behind { file: disk, tally: Arc::default() })?;
-        write(path, &base, [&Record::OwnGeneration(fresh)])?;
+        let database = open_database(path, FileBehindHeader { file: disk, counters: Arc::default() })?;
+        write(path, &database, [&Record::OwnGeneration(new_generation)])?;
     }
-    sync.sync_all().map_err(io)?;
-    fs::rename(&draft, path).map_err(io)?;
+    file.sync_all().map_err(io)?;
+    fs::rename(&temporary, path).map_err(io)?;
     let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
     File::open(folder).and_then(|folder| folder.sync_all()).map_err(io)
 }
--- a/register/src/tests/mod.rs
+++ b/register/src/tests/mod.rs
@@ -1,20 +1,20 @@
-//! Real files in folders of their own.
+//! Tests on real files in temporary folders.
 
-mod cuts;
 mod errors;
 mod kill;
-mod plain;
+mod open_and_write;
+mod power_cuts;
 
 use ottersail_consensus::{Ballot, Key, Life, MemberId, Record, Register, RequestId, StoreGeneration, Value};
 use tempfile::TempDir;
 
-pub(crate) const FRESH: StoreGeneration = StoreGeneration(0xabc);
+pub(crate) const NEW_GENERATION: StoreGeneration = StoreGeneration(0xabc);
 
 pub(crate) fn folder() -> TempDir {
     TempDir::new().unwrap()
 }
 
-/// A promise and an accepted value of that number.
+/// A register with a promise and an accepted value of that number.
 pub(crate) fn record(slot: u8, number: u64) -> Record {
     let ballot = Ballot { number, proposer: MemberId(1), life: Life(2) };
     let request = RequestId { member: MemberId(1), life: Life(2), number };
--- a/register/src/tests/cuts.rs
+++ b/register/src/tests/power_cuts.rs
@@ -1,4 +1,4 @@
-//! Power cuts and damaged bytes: of what was written since the last sync, any part may be on the disk.
+//! Power cuts and damaged files: any part of what was written since the last sync may be on the disk.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -9,24 +9,24 @@
 use redb::StorageBackend;
 
 use super::*;
-use crate::file::{head, HEAD, VERSION};
-use crate::store::{base, write};
+use crate::file::{encode_header, HEADER_BYTES, VERSION};
+use crate::store::{open_database, write};
 use crate::{RegisterError, Store};
 
-/// The bytes as the process sees them, as the disk surely has them, and what lies between.
+/// A simulated disk: the bytes as the process sees them, as of the last sync, and the writes since.
 #[derive(Debug, Default)]
-struct Platter {
+struct DiskState {
     seen: Vec<u8>,
     synced: Vec<u8>,
-    since: Vec<(u64, Vec<u8>)>,
-    /// Calls that still succeed.
-    left: usize,
+    unsynced: Vec<(u64, Vec<u8>)>,
+    /// Calls that succeed before the power cut.
+    calls_left: usize,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Disk(Arc<Mutex<Platter>>);
+struct Disk(Arc<Mutex<DiskState>>);
 
-fn lay(bytes: &mut Vec<u8>, at: u64, data: &[u8]) {
+fn write_at(bytes: &mut Vec<u8>, at: u64, data: &[u8]) {
     let (from, to) = (at as usize, at as usize + data.len());
     if bytes.len() < to {
         bytes.resize(to, 0);
@@ -35,13 +35,13 @@
 }
 
 impl Disk {
-    fn call<T>(&self, step: impl FnOnce(&mut Platter) -> T) -> Result<T> {
-        let mut platter = self.0.lock().unwrap();
-        if platter.left == 0 {
+    fn call<T>(&self, step: impl FnOnce(&mut DiskState) -> T) -> Result<T> {
+        let mut state = self.0.lock().unwrap();
+        if state.calls_left == 0 {
             return Err(Error::other("cut"));
         }
-        platter.left -= 1;
-        Ok(step(&mut platter))
+        state.calls_left -= 1;
+        Ok(step(&mut state))
     }
 }
 
@@ -50,47 +50,47 @@
         Ok(self.0.lock().unwrap().seen.len() as u64)
     }
     fn read(&self, offset: u64, out: &mut [u8]) -> Result<()> {
-        let platter = self.0.lock().unwrap();
+        let state = self.0.lock().unwrap();
         let from = offset as usize;
-        let bytes = platter.seen.get(from..from + out.len()).ok_or_else(|| Error::other("past the end"))?;
+        let bytes = state.seen.get(from..from + out.len()).ok_or_else(|| Error::other("past the end"))?;
         out.copy_from_slice(bytes);
         Ok(())
     }
     fn set_len(&self, len: u64) -> Result<()> {
-        self.call(|platter| platter.seen.resize(len as usize, 0))
+        self.call(|state| state.seen.resize(len as usize, 0))
     }
     fn sync_data(&self) -> Result<()> {
-        self.call(|platter| {
-            platter.synced = platter.seen.clone();
-            platter.since.clear();
+        self.call(|state| {
+            state.synced = state.seen.clone();
+            state.unsynced.clear();
         })
     }
     fn write(&self, offset: u64, data: &[u8]) -> Result<()> {
-        self.call(|platter| {
-            lay(&mut platter.seen, offset, data);
-            platter.since.push((offset, data.to_vec()));
+        self.call(|state| {
+            write_at(&mut state.seen, offset, data);
+            state.unsynced.push((offset, data.to_vec()));
         })
     }
 }
 
-/// Draws below that limit.
-fn draw(state: &mut u64, limit: usize) -> usize {
-    *state = (*state & 0xffff_ffff) * 4_294_957_665 + (*state >> 32);
-    (((*state & 0xffff_ffff) * limit as u64) >> 32) as usize
+/// A random number below `limit`.
+fn random_below(random_state: &mut u64, limit: usize) -> usize {
+    *random_state = (*random_state & 0xffff_ffff) * 4_294_957_665 + (*random_state >> 32);
+    (((*random_state & 0xffff_ffff) * limit as u64) >> 32) as usize
 }
 
 #[test]
-fn a_power_cut_loses_nothing_confirmed_and_tears_no_group() {
+fn power_cut_keeps_confirmed_records_and_whole_groups() {
     let folder = folder();
     let path = folder.path().join("council");
     let mut seen = BTreeMap::new();
     for seed in 1..=150_u64 {
-        let mut chance = seed * 7919;
+        let mut random_state = seed * 7919;
         let disk = Disk::default();
-        disk.0.lock().unwrap().left = usize::MAX;
-        let database = base(&path, disk.clone()).unwrap();
-        write(&path, &database, [&Record::OwnGeneration(FRESH)]).unwrap();
-        disk.0.lock().unwrap().left = draw(&mut chance, 120);
+        disk.0.lock().unwrap().calls_left = usize::MAX;
+        let database = open_database(&path, disk.clone()).unwrap();
+        write(&path, &database, [&Record::OwnGeneration(NEW_GENERATION)]).unwrap();
+        disk.0.lock().unwrap().calls_left = random_below(&mut random_state, 120);
         let mut confirmed = 0;
         for number in 1..60 {
             if write(&path, &database, [&record(1, number), &record(2, number)]).is_err() {
@@ -99,16 +99,16 @@
             confirmed = number;
         }
         drop(database);
-        let platter = disk.0.lock().unwrap();
-        let mut bytes = platter.synced.clone();
-        bytes.resize(platter.seen.len().max(bytes.len()), 0);
-        for (at, data) in &platter.since {
-            // A write reaches the disk by sectors: whole, in part or not at all.
-            let cut = [0, data.len() / 512 * 512 / 2, data.len()][draw(&mut chance, 3)];
-            lay(&mut bytes, *at, &data[..cut]);
+        let state = disk.0.lock().unwrap();
+        let mut bytes = state.synced.clone();
+        bytes.resize(state.seen.len().max(bytes.len()), 0);
+        for (at, data) in &state.unsynced {
+            // A write reaches the disk in sectors: completely, partly or not at all.
+            let cut = [0, data.len() / 512 * 512 / 2, data.len()][random_below(&mut random_state, 3)];
+            write_at(&mut bytes, *at, &data[..cut]);
         }
-        fs::write(&path, [head(VERSION), bytes].concat()).unwrap();
-        let (_store, stored) = Store::open(&path, FRESH).unwrap();
+        fs::write(&path, [encode_header(VERSION), bytes].concat()).unwrap();
+        let (_store, stored) = Store::open(&path, NEW_GENERATION).unwrap();
         let number = |slot| number(&stored, slot);
         assert!([confirmed, confirmed + 1].contains(&number(1)), "seed {seed}: {} of {confirmed}", number(1));
         assert_eq!(number(1), number(2), "seed {seed}: a torn group");
@@ -123,35 +123,35 @@
 }
 
 #[test]
-fn damaged_bytes_and_torn_ends_are_errors_or_harmless() {
+fn damaged_or_truncated_files_are_refused_or_intact() {
     let folder = folder();
     let path = folder.path().join("council");
-    let (store, mut stored) = Store::open(&path, FRESH).unwrap();
+    let (store, mut stored) = Store::open(&path, NEW_GENERATION).unwrap();
     for slot in 0..40 {
         store.persist(&[record(slot, 3)]).unwrap();
         stored.apply(&record(slot, 3));
     }
     drop(store);
     let whole = fs::read(&path).unwrap();
-    let (mut chance, mut refused) = (17, 0);
+    let (mut random_state, mut refused) = (17, 0);
     for turn in 0..300 {
         let mut bytes = whole.clone();
         if turn % 3 == 0 {
-            bytes.truncate(draw(&mut chance, whole.len()));
+            bytes.truncate(random_below(&mut random_state, whole.len()));
         } else {
-            let at = draw(&mut chance, whole.len());
+            let at = random_below(&mut random_state, whole.len());
             let to = (at + 64).min(whole.len());
             bytes[at..to].iter_mut().for_each(|byte| *byte ^= 0xa5);
         }
         fs::write(&path, &bytes).unwrap();
-        match Store::open(&path, FRESH) {
+        match Store::open(&path, NEW_GENERATION) {
             Ok((_, read)) => assert_eq!(read, stored, "turn {turn}: damage read as if whole"),
-            Err(RegisterError::Damaged { .. } | RegisterError::Foreign { .. }) => refused += 1,
+            Err(RegisterError::Damaged { .. } | RegisterError::NotCouncilFile { .. }) => refused += 1,
             Err(other) => panic!("turn {turn}: {other}"),
         }
     }
     println!("300 damaged files of {} bytes: {refused} refused, the others held all", whole.len());
     assert!(refused >= 100, "{refused}");
-    fs::write(&path, &whole[..HEAD as usize]).unwrap();
-    assert!(matches!(Store::open(&path, FRESH), Err(RegisterError::Damaged { .. })));
+    fs::write(&path, &whole[..HEADER_BYTES as usize]).unwrap();
+    assert!(matches!(Store::open(&path, NEW_GENERATION), Err(RegisterError::Damaged { .. })));
 }
