--- a/consensus/src/config.rs
+++ b/consensus/src/config.rs
@@ -1,7 +1,7 @@
 //! A member's role in the council and its timeouts.
 
 use ottersail::time::Ms;
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 
 /// The configuration of one member; all times in milliseconds.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -9,7 +9,7 @@
     /// This member.
     pub own_id: MemberId,
     /// Its current life.
-    pub life: Life,
+    pub life: InstanceId,
     /// All councillors, sorted: 3, 5 or 7 for councils that tolerate 1, 2 or 3 failures.
     pub councillors: Vec<MemberId>,
     /// Seed of the random back-off.
@@ -28,7 +28,7 @@
 
 impl CouncilConfig {
     /// Timeouts for a local network with round trips of a few milliseconds and disk syncs of around ten.
-    pub fn new(own_id: MemberId, life: Life, councillors: &[MemberId], seed: u64) -> CouncilConfig {
+    pub fn new(own_id: MemberId, life: InstanceId, councillors: &[MemberId], seed: u64) -> CouncilConfig {
         let mut councillors = councillors.to_vec();
         councillors.sort();
         councillors.dedup();
--- a/consensus/src/lib.rs
+++ b/consensus/src/lib.rs
@@ -28,6 +28,6 @@
 #[cfg(any(test, feature = "sabotage"))]
 pub use guards::Guards;
 pub use message::Message;
-pub use ottersail_membership::{Life, MemberId};
+pub use ottersail_membership::{InstanceId, MemberId};
 pub use proposer::Proposer;
 pub use types::*;
--- a/consensus/src/proposer.rs
+++ b/consensus/src/proposer.rs
@@ -14,7 +14,7 @@
 pub use crate::round::Proposal;
 use crate::round::{self, Decision, Phase, Promised, Round, RoundRules};
 use crate::types::{Ballot, Change, Key, Outcome, Value, MAX_BODY_BYTES};
-use ottersail_membership::chance::Chance;
+use ottersail_membership::rng::SeededRng;
 
 /// Maximum number of requests that wait for one key.
 const MAX_QUEUED_PER_KEY: usize = 16;
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Proposer {
     config: CouncilConfig,
-    chance: Chance,
+    chance: SeededRng,
     /// The greatest ballot number seen anywhere.
     highest: u64,
     rounds: BTreeMap<Key, Round>,
@@ -38,7 +38,7 @@
     /// A proposer without rounds.
     pub fn new(config: CouncilConfig) -> Proposer {
         Proposer {
-            chance: Chance::new(config.seed),
+            chance: SeededRng::new(config.seed),
             config,
             highest: 0,
             rounds: BTreeMap::new(),
@@ -123,7 +123,7 @@
 
     /// Waits for a random time; otherwise two competing proposers could refuse each other for ever.
     fn back_off(&mut self, now: Ms, key: Key) {
-        let fraction = self.chance.part();
+        let fraction = self.chance.fraction();
         let Some(round) = self.rounds.get_mut(&key) else { return };
         let max_delay =
             self.config.first_back_off * f64::from(1 << round.failed_attempts.min(MAX_BACK_OFF_DOUBLINGS));
--- a/consensus/src/tests/simulation.rs
+++ b/consensus/src/tests/simulation.rs
@@ -3,12 +3,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use ottersail::time::Ms;
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 
 use super::checker::{founded, Checker, CollectedEffects};
 use super::faults::Faults;
 use crate::*;
-use ottersail_membership::chance::Chance;
+use ottersail_membership::rng::SeededRng;
 
 /// A guard of the upper layer that allows or refuses one call.
 struct RandomGuard(bool);
@@ -21,8 +21,8 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Deliver { from: MemberId, life: Life, to: MemberId, message: Message },
-    Persisted { at: MemberId, life: Life, token: Token },
+    Deliver { from: MemberId, life: InstanceId, to: MemberId, message: Message },
+    Persisted { at: MemberId, life: InstanceId, token: Token },
     Restart(MemberId),
     Heal(MemberId, MemberId),
 }
@@ -30,7 +30,7 @@
 /// The simulated council.
 pub struct Simulation {
     pub now: Ms,
-    pub chance: Chance,
+    pub chance: SeededRng,
     pub faults: Faults,
     pub guards: Guards,
     pub up: BTreeMap<MemberId, Councillor>,
@@ -40,7 +40,7 @@
     pub cuts: BTreeSet<(MemberId, MemberId)>,
     pub members: Vec<MemberId>,
     last_number: u64,
-    latest_lives: BTreeMap<(MemberId, MemberId), Life>,
+    latest_lives: BTreeMap<(MemberId, MemberId), InstanceId>,
     /// Each message takes from this to twice this long; each sync likewise.
     pub link_delay: Ms,
     pub sync_time: Ms,
@@ -52,7 +52,7 @@
         let members: Vec<MemberId> = (1..=count).map(MemberId).collect();
         let mut sim = Simulation {
             now: Ms(0.0),
-            chance: Chance::new(seed),
+            chance: SeededRng::new(seed),
             faults,
             guards,
             up: BTreeMap::new(),
@@ -73,7 +73,8 @@
 
     pub fn start(&mut self, member: MemberId) {
         self.last_number += 1;
-        let config = CouncilConfig::new(member, Life(self.last_number), &self.members, self.last_number);
+        let config =
+            CouncilConfig::new(member, InstanceId(self.last_number), &self.members, self.last_number);
         let disk = self
             .disks
             .entry(member)
@@ -128,15 +129,15 @@
             };
             for _ in 0..copies {
                 // One message in 20 arrives much later than the others.
-                let late = if self.chance.below(20) == 0 { 100.0 * self.chance.part() } else { 1.0 };
-                let wait = self.link_delay * ((1.0 + self.chance.part()) * late);
+                let late = if self.chance.below(20) == 0 { 100.0 * self.chance.fraction() } else { 1.0 };
+                let wait = self.link_delay * ((1.0 + self.chance.fraction()) * late);
                 self.schedule(wait, Event::Deliver { from: at, life, to, message: message.clone() });
             }
         }
         for (token, records) in effects.persisted {
             let unsynced = self.unsynced.entry(at).or_default();
             unsynced.push((token, records));
-            let wait = self.sync_time * (1.0 + self.chance.part());
+            let wait = self.sync_time * (1.0 + self.chance.fraction());
             self.schedule(wait, Event::Persisted { at, life, token });
         }
         for (key, value) in effects.chosen {
@@ -218,7 +219,7 @@
         let victim = self.members[self.chance.below(self.members.len())];
         let other = self.members[self.chance.below(self.members.len())];
         if self.chance.below(1000) < self.faults.cut_link && self.cuts.insert((victim, other)) {
-            let wait = Ms(600.0) * self.chance.part();
+            let wait = Ms(600.0) * self.chance.fraction();
             self.schedule(wait, Event::Heal(victim, other));
         }
         if self.chance.below(1000) < self.faults.crash && self.up.contains_key(&victim) {
@@ -230,7 +231,7 @@
             {
                 self.lose_store(victim);
             }
-            let wait = Ms(400.0) * self.chance.part();
+            let wait = Ms(400.0) * self.chance.fraction();
             self.schedule(wait, Event::Restart(victim));
         }
         self.run(Ms(50.0));
--- a/consensus/src/tests/state_machines.rs
+++ b/consensus/src/tests/state_machines.rs
@@ -17,11 +17,11 @@
 }
 
 fn ballot(number: u64) -> Ballot {
-    Ballot { number, proposer: MemberId(2), life: Life(2) }
+    Ballot { number, proposer: MemberId(2), life: InstanceId(2) }
 }
 
 fn value(revision: u64, number: u64) -> Value {
-    let request = RequestId { member: MemberId(9), life: Life(9), number };
+    let request = RequestId { member: MemberId(9), life: InstanceId(9), number };
     Value { revision, request, body: vec![number as u8] }
 }
 
@@ -80,10 +80,10 @@
 
 /// The proposer of councillor 3 after promises of 1 and 2 that had accepted `held`.
 fn proposing(guards: Guards, held: Option<Value>, change: Change) -> (Proposer, CollectedEffects) {
-    let config = CouncilConfig::new(MemberId(3), Life(3), &members(), 1);
+    let config = CouncilConfig::new(MemberId(3), InstanceId(3), &members(), 1);
     let (mut proposer, mut effects) = (Proposer::new(config), CollectedEffects::default());
     proposer.guards = guards;
-    let request = RequestId { member: MemberId(9), life: Life(9), number: 7 };
+    let request = RequestId { member: MemberId(9), life: InstanceId(9), number: 7 };
     proposer.propose(
         Ms(0.0),
         KEY,
@@ -137,7 +137,7 @@
 
 #[test]
 fn oversized_and_excess_requests_are_rejected() {
-    let config = CouncilConfig::new(MemberId(9), Life(9), &members(), 1);
+    let config = CouncilConfig::new(MemberId(9), InstanceId(9), &members(), 1);
     let (mut follower, mut effects) = (Follower::new(Ms(0.0), config), CollectedEffects::default());
     let set = |bytes| Change::Set { if_revision: 0, body: vec![0; bytes] };
     follower.submit(Ms(0.0), 1, KEY, set(MAX_BODY_BYTES + 1), &mut effects);
@@ -149,7 +149,7 @@
 #[test_case(true)]
 #[test_case(false)]
 fn follower_ignores_older_values(ignore_older_values: bool) {
-    let config = CouncilConfig::new(MemberId(9), Life(9), &members(), 1);
+    let config = CouncilConfig::new(MemberId(9), InstanceId(9), &members(), 1);
     let (mut follower, mut effects) = (Follower::new(Ms(0.0), config), CollectedEffects::default());
     follower.guards = Guards { ignore_older_values, ..Guards::ALL };
     for revision in [5, 4] {
@@ -168,7 +168,7 @@
 fn followers_fetch_missing_values() {
     let mut effects = CollectedEffects::default();
     let mut followers: Vec<Follower> = (10..14)
-        .map(|id| Follower::new(Ms(0.0), CouncilConfig::new(MemberId(id), Life(id), &members(), 1)))
+        .map(|id| Follower::new(Ms(0.0), CouncilConfig::new(MemberId(id), InstanceId(id), &members(), 1)))
         .collect();
     for number in 0..1000_u16 {
         let value = Value { body: vec![1; usize::from(number % 300)], ..value(1 + u64::from(number % 7), 3) };
@@ -207,9 +207,9 @@
 /// Councillor 2 knows a generation of 1 from an interrupted recovery; 1 is told of it and raises its own generation.
 #[test]
 fn participating_councillor_raises_its_generation_when_it_is_outdated() {
-    let config = CouncilConfig::new(MemberId(3), Life(3), &members(), 1);
+    let config = CouncilConfig::new(MemberId(3), InstanceId(3), &members(), 1);
     let (mut proposer, mut effects) = (Proposer::new(config), CollectedEffects::default());
-    let request = RequestId { member: MemberId(9), life: Life(9), number: 7 };
+    let request = RequestId { member: MemberId(9), life: InstanceId(9), number: 7 };
     let proposal = Proposal { request, reply_to: MemberId(9), change: Change::Read, deadline: Ms(9e3) };
     proposer.propose(Ms(0.0), KEY, proposal, &mut effects);
     let Some((_, Message::Prepare { ballot, .. })) = effects.sent.first().cloned() else {
@@ -223,7 +223,7 @@
     assert_eq!(effects.sent.last(), Some(&(MemberId(1), outdated.clone())));
     let stored = StoredState { participating: true, ..StoredState::new(StoreGeneration(5)) };
     let mut councillor =
-        Councillor::new(Ms(0.0), CouncilConfig::new(MemberId(1), Life(1), &members(), 1), stored);
+        Councillor::new(Ms(0.0), CouncilConfig::new(MemberId(1), InstanceId(1), &members(), 1), stored);
     for known in [outdated, Message::Outdated { known: StoreGeneration(4) }] {
         councillor.on_message(Ms(0.0), MemberId(3), &known, &AllowAll, &mut effects);
     }
--- a/consensus/src/types.rs
+++ b/consensus/src/types.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 
 /// Maximum length of a value's body in bytes. A promise that also carries every councillor's store generation
 /// then fits in a message of 900 bytes.
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId {
     pub member: MemberId,
-    pub life: Life,
+    pub life: InstanceId,
     /// Chosen by the member, unique within its life.
     pub number: u64,
 }
@@ -45,7 +45,7 @@
 pub struct Ballot {
     pub number: u64,
     pub proposer: MemberId,
-    pub life: Life,
+    pub life: InstanceId,
 }
 
 /// Identifies one incarnation of a councillor's store, so that a lost and recreated store is noticed. The upper
--- a/daemon/src/fleet/council/leave_tests.rs
+++ b/daemon/src/fleet/council/leave_tests.rs
@@ -12,7 +12,7 @@
     let mut holder = holder();
     holds(&mut holder, Ms(0.0), 1, 2);
     let (needs, renewals) =
-        (Needs::born(Ms(0.0), ME.0, parts.clone()), Renewals::born(Ms(0.0), parts.clone()));
+        (SlotBalancer::new(Ms(0.0), ME.0, parts.clone()), LeaseGrants::new(Ms(0.0), parts.clone()));
     let mut it = Council {
         me: ME,
         names: BTreeMap::new(),
@@ -29,13 +29,13 @@
         look_at: Ms(0.0),
         arrivals: Cell::new(0),
         alive: BTreeMap::new(),
-        figures: Figures::default(),
+        figures: Counters::default(),
         tally: Tally::default(),
     };
     it.bell(Ms(0.0), &mut Outs::default());
     let mut outs = Outs::default();
     it.bell(Ms(400.0), &mut outs);
-    assert_eq!(outs.part.map(|it| it.leased), Some(vec![0, 1]));
+    assert_eq!(outs.part.map(|it| it.leased_slots), Some(vec![0, 1]));
     it
 }
 
@@ -54,7 +54,7 @@
     let mut first = Outs::default();
     council.leave(Ms(500.0), &mut first);
     let part = first.part.as_ref().unwrap();
-    assert_eq!((part.kept, part.leased.len(), part.until, first.shrunk), (35, 0, 0.0, true));
+    assert_eq!((part.own_slot, part.leased_slots.len(), part.lease_end_ms, first.shrunk), (35, 0, 0.0, true));
     assert_eq!(given_back(&first), (0, 0), "what goes out before the module is told");
     assert!(!council.gave_all_back());
     let mut then = Outs::default();
--- a/daemon/src/fleet/council/seat.rs
+++ b/daemon/src/fleet/council/seat.rs
@@ -134,7 +134,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use ottersail_consensus::{AllowAll, Ballot, Life, StoreGeneration};
+    use ottersail_consensus::{AllowAll, Ballot, InstanceId, StoreGeneration};
 
     /// Symptom without that: a councillor goes on to promise what no disk holds.
     #[test]
@@ -142,12 +142,12 @@
         let folder = tempfile::tempdir().unwrap();
         let (store, stored) = Store::open(&folder.path().join("council"), StoreGeneration(5)).unwrap();
         let [me, other, third] = [1, 2, 3].map(MemberId);
-        let config = CouncilConfig::new(me, Life(4), &[me, other, third], 1);
+        let config = CouncilConfig::new(me, InstanceId(4), &[me, other, third], 1);
         let opened = Some((store, StoredState { participating: true, ..stored }));
         let (mut seat, keeper) = Seat::born(Ms(0.0), &config, opened);
         assert!(keeper.is_some() && seat.is_councillor());
         assert_eq!((seat.turned(), seat.turned()), (Some(true), None), "told once");
-        let ballot = Ballot { number: 1, proposer: other, life: Life(9) };
+        let ballot = Ballot { number: 1, proposer: other, life: InstanceId(9) };
         let prepare = Message::Prepare { key: Key::Founding, ballot };
         let kept = |seat: &mut Seat| {
             let mut wants = Wants::default();
--- a/daemon/src/service.rs
+++ b/daemon/src/service.rs
@@ -6,9 +6,9 @@
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CACHE_CONTROL, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Method, Request, Response, StatusCode};
-use ottersail_front::tape::Told;
-use ottersail_front::{Asked, Reply, WatchId};
-use ottersail_net::{whole, Body, Line};
+use ottersail_front::recording::FrontInput;
+use ottersail_front::{Reply, TitleRequest, WatchId};
+use ottersail_net::{full_body, Body, ConnectionHandle};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
@@ -25,13 +25,17 @@
 }
 
 fn said(status: StatusCode, text: impl Into<String>) -> Response<Body> {
-    let mut response = Response::new(whole(text.into() + "\n"));
+    let mut response = Response::new(full_body(text.into() + "\n"));
     *response.status_mut() = status;
     response
 }
 
 impl Service {
-    pub async fn answer(self: Rc<Service>, request: Request<Incoming>, line: Line) -> Response<Body> {
+    pub async fn answer(
+        self: Rc<Service>,
+        request: Request<Incoming>,
+        line: ConnectionHandle,
+    ) -> Response<Body> {
         if request.method() != Method::GET && request.method() != Method::HEAD {
             return said(StatusCode::METHOD_NOT_ALLOWED, "only GET is served here");
         }
@@ -73,7 +77,7 @@
         title: &str,
         query: &BTreeMap<String, String>,
         trace: String,
-        line: Line,
+        line: ConnectionHandle,
     ) -> Response<Body> {
         let text = |key: &str| query.get(key).filter(|it| it.len() <= MOST_NAME).cloned();
         let Some(package) = text("package") else {
@@ -88,10 +92,24 @@
         if title.len() > MOST_NAME {
             return said(StatusCode::NOT_FOUND, "no such title");
         }
-        let asked = Asked { title: title.to_string(), package, tenant: text("tenant"), best, patience };
+        let asked = TitleRequest {
+            title: title.to_string(),
+            package,
+            tenant: text("tenant"),
+            max_rung: best,
+            patience_ms: patience,
+        };
         // What is out of bounds is refused by the front.
         let patience = if patience.is_finite() { patience.clamp(50.0, LONGEST) } else { LONGEST };
-        respond(self.worker.ask(line, trace, patience, |ask| Told::Asked { ask, asked }).await).await
+        respond(
+            self.worker
+                .ask(line, trace, patience, |ask| FrontInput::TitleRequested {
+                    request: ask,
+                    title_request: asked,
+                })
+                .await,
+        )
+        .await
     }
 
     async fn reload(
@@ -100,7 +118,7 @@
         id: &str,
         query: &BTreeMap<String, String>,
         trace: String,
-        line: Line,
+        line: ConnectionHandle,
     ) -> Response<Body> {
         let ticket = query.get("t").map_or("", String::as_str);
         let shared = &self.worker.shared;
@@ -110,8 +128,16 @@
         }
         let unread = query.get("_HLS_msn").and_then(|it| it.parse::<u64>().ok());
         let watch = WatchId(id.to_string());
-        respond(self.worker.ask(line, trace, LONGEST, |ask| Told::Reloaded { ask, watch, unread }).await)
-            .await
+        respond(
+            self.worker
+                .ask(line, trace, LONGEST, |ask| FrontInput::PlaylistRequested {
+                    request: ask,
+                    watch,
+                    next_sequence: unread,
+                })
+                .await,
+        )
+        .await
     }
 }
 
@@ -142,7 +168,7 @@
         return std::future::pending().await;
     };
     let (status, kind, stay_away, text) = parts(reply);
-    let mut response = Response::new(whole(text));
+    let mut response = Response::new(full_body(text));
     *response.status_mut() = status;
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static(kind));
--- a/daemon/src/worker.rs
+++ b/daemon/src/worker.rs
@@ -8,10 +8,10 @@
 use crate::post::{Core, Errand, News};
 use async_executor::Task;
 use hyper::{Method, Request, StatusCode};
-use ottersail_cores::vigil;
-use ottersail_front::tape::Told;
-use ottersail_front::PROBE_PATIENCE;
-use ottersail_net::{Body, Client, Exec, Timer};
+use ottersail_cores::stall;
+use ottersail_front::recording::FrontInput;
+use ottersail_front::PROBE_TIMEOUT;
+use ottersail_net::{Body, Client, Executor, Timer};
 use ottersail_wire::report::{self, Report};
 pub use shared::{Reach, Shared};
 use std::cell::{Cell, RefCell};
@@ -29,7 +29,7 @@
 
 pub struct Worker {
     pub shared: Arc<Shared>,
-    exec: Exec,
+    exec: Executor,
     index: usize,
     core: Arc<Core>,
     client: Client,
@@ -48,7 +48,7 @@
 }
 
 impl Worker {
-    pub fn new(exec: Exec, index: usize, shared: Arc<Shared>) -> Rc<Worker> {
+    pub fn new(exec: Executor, index: usize, shared: Arc<Shared>) -> Rc<Worker> {
         let connect = Duration::from_secs_f64(shared.reach.connect.0 / 1e3);
         Rc::new(Worker {
             exec,
@@ -71,7 +71,7 @@
         self.exec.spawn(future).detach();
     }
 
-    async fn tell(&self, told: Told) {
+    async fn tell(&self, told: FrontInput) {
         _ = self.shared.news.send(News::Happened { told, slot: None }).await;
     }
 
@@ -79,7 +79,7 @@
     pub async fn pulse(self: Rc<Worker>) {
         loop {
             self.core.moves(self.now());
-            Timer::after(Duration::from_secs_f64(vigil::PULSE / 1e3)).await;
+            Timer::after(Duration::from_secs_f64(stall::HEARTBEAT_INTERVAL_MS / 1e3)).await;
         }
     }
 
@@ -116,10 +116,10 @@
                     }
                     _ => None,
                 };
-                worker.tell(Told::RungChanged { vw, rung, playlist }).await;
+                worker.tell(FrontInput::RungChanged { viewing: vw, rung, playlist }).await;
             }),
             Errand::LetGo { vw, address } => {
-                let told = Told::LetGo { vw: vw.clone() };
+                let told = FrontInput::EndConfirmed { viewing: vw.clone() };
                 self.parting(address, format!("/viewings/{vw}"), Some(told));
             }
             Errand::Listen { server, address } => {
@@ -127,7 +127,7 @@
                 self.streams.borrow_mut().insert(server, task);
             }
             Errand::Probe { server, address } => self.spawn(async move {
-                let patience = Duration::from_secs_f64(PROBE_PATIENCE.0 / 1e3);
+                let patience = Duration::from_secs_f64(PROBE_TIMEOUT.0 / 1e3);
                 let sent = worker.client.exchange(
                     &address,
                     worker.errand(Method::GET, &address, "/load"),
@@ -138,7 +138,7 @@
                 let answer = answer.filter(|it| it.status == StatusCode::NO_CONTENT);
                 let told =
                     answer.and_then(|it| it.headers.get(report::HEADER)?.to_str().ok().map(Report::read));
-                worker.tell(Told::Probed { server, report: told }).await;
+                worker.tell(FrontInput::ProbeEnded { server, report: told }).await;
             }),
             Errand::StandStill { ms } => std::thread::sleep(Duration::from_millis(ms)),
             Errand::HangUp { server } => drop(self.streams.borrow_mut().remove(&server)),
--- a/daemon/src/worker/shared.rs
+++ b/daemon/src/worker/shared.rs
@@ -2,7 +2,7 @@
 
 use crate::metrics::Times;
 use crate::post::{Core, News};
-use crate::settings::manager::Manager;
+use crate::settings::manager::ManagerSettings;
 use arc_swap::ArcSwap;
 use async_channel::Sender;
 use ottersail_front::Ms;
@@ -38,10 +38,10 @@
     pub member: Option<MemberId>,
 }
 
-impl From<&Manager> for Reach {
-    fn from(it: &Manager) -> Reach {
+impl From<&ManagerSettings> for Reach {
+    fn from(it: &ManagerSettings) -> Reach {
         Reach {
-            me: it.terms.me.0,
+            me: it.terms.manager.0,
             list: it.links.list.clone(),
             service: it.links.service.clone(),
             list_wait: it.links.list_wait,
--- a/model-checker/tests/founding/node.rs
+++ b/model-checker/tests/founding/node.rs
@@ -8,7 +8,7 @@
     AllowAll, CouncilConfig, Councillor, Effects, Guards, Key, Message, Outcome, Record, StoreGeneration,
     StoredState, Token, Value,
 };
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 use ottersail_model_checker::print_of;
 
 pub fn id(node: usize) -> MemberId {
@@ -158,7 +158,8 @@
 fn born(me: usize, size: usize, life: u64, disk: &StoredState, guards: Guards) -> Councillor {
     let all: Vec<MemberId> = (0..size).map(id).collect();
     // Its bell may ring at any time.
-    let config = CouncilConfig { retry_interval: Ms(0.0), ..CouncilConfig::new(id(me), Life(life), &all, 1) };
+    let config =
+        CouncilConfig { retry_interval: Ms(0.0), ..CouncilConfig::new(id(me), InstanceId(life), &all, 1) };
     let mut council = Councillor::new(Ms(0.0), config, disk.clone());
     council.sabotage(guards);
     council.set_living(&BTreeSet::from([id(me)]));
--- a/model-checker/tests/registers/node.rs
+++ b/model-checker/tests/registers/node.rs
@@ -5,7 +5,7 @@
     AllowAll, Change, CouncilConfig, Councillor, Effects, Guards, Key, Message, Outcome, Record,
     StoreGeneration, StoredState, Token, Value,
 };
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 use ottersail_model_checker::net::{self, Machine, Out};
 use ottersail_model_checker::print_of;
 use std::cell::RefCell;
@@ -87,7 +87,7 @@
 
 fn config(me: usize, life: u64, size: usize) -> CouncilConfig {
     let all: Vec<MemberId> = (0..size).map(id).collect();
-    CouncilConfig::new(id(me), Life(life), &all, 1)
+    CouncilConfig::new(id(me), InstanceId(life), &all, 1)
 }
 
 impl Node {
--- a/rollout/src/coordinator.rs
+++ b/rollout/src/coordinator.rs
@@ -10,7 +10,7 @@
 use crate::refusal::Refusal;
 use crate::status::MemberStatus;
 use ottersail::time::Ms;
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Periods that a proposal may stay unanswered.
@@ -127,7 +127,7 @@
     }
 
     /// Handles a member's status.
-    pub fn on_status(&mut self, now: Ms, from: MemberId, life: Life, status: &MemberStatus) {
+    pub fn on_status(&mut self, now: Ms, from: MemberId, life: InstanceId, status: &MemberStatus) {
         if self.fleet.record(now, from, life, status) {
             self.review_soon(now);
         }
--- a/rollout/src/evidence.rs
+++ b/rollout/src/evidence.rs
@@ -15,7 +15,7 @@
 
 use crate::order::HaltPolicy;
 use crate::status::ViewingCounts;
-use crate::{Life, MemberId};
+use crate::{InstanceId, MemberId};
 use fit::Fit;
 use history::MemberHistories;
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
 /// What a ready member has reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberSample {
-    pub life: Life,
+    pub life: InstanceId,
     /// It runs the ordered version.
     pub released: bool,
     /// Counted since that life began, not since the last window.
--- a/rollout/src/evidence/history.rs
+++ b/rollout/src/evidence/history.rs
@@ -2,7 +2,7 @@
 
 use super::{median, sum::Sum, MemberSample, MIN_MEMBERS};
 use crate::status::ViewingCounts;
-use crate::{Life, MemberId};
+use crate::{InstanceId, MemberId};
 use std::collections::BTreeMap;
 
 /// Maximum weight of one member: at most that many times the median number of viewings count. Otherwise a member that
@@ -21,7 +21,7 @@
 
 #[derive(Clone, Debug)]
 struct MemberHistory {
-    life: Life,
+    life: InstanceId,
     last: ViewingCounts,
     released: bool,
     /// The sums before its release; empty if it is not released.
--- a/rollout/src/fleet_status.rs
+++ b/rollout/src/fleet_status.rs
@@ -5,7 +5,7 @@
 use crate::order::Name;
 use crate::status::MemberStatus;
 use ottersail::time::Ms;
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 use std::collections::BTreeMap;
 
 /// How many periods a status counts. Members send one every two periods, so three in a row may be lost.
@@ -23,7 +23,7 @@
 /// The roster's entry of a living member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RosterEntry {
-    pub life: Life,
+    pub life: InstanceId,
     pub name: Name,
     pub zone: Option<Name>,
     pub presence: Presence,
@@ -33,9 +33,9 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Identity {
     pub name: Name,
-    pub life: Life,
+    pub life: InstanceId,
     /// The life seen before that one.
-    pub previous_life: Option<Life>,
+    pub previous_life: Option<InstanceId>,
     /// Since when the roster no longer lists it.
     pub gone_since: Option<Ms>,
 }
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct StatusRecord {
     pub status: MemberStatus,
-    life: Life,
+    life: InstanceId,
     /// When the status was sent, by the local clock: the time of receipt less its delay beyond the fastest message.
     pub sent_at: Ms,
     ready_since: Option<Ms>,
@@ -76,7 +76,7 @@
     }
 
     /// Records a status. Returns whether it says anything new of a life that the roster knows.
-    pub fn record(&mut self, now: Ms, from: MemberId, life: Life, status: &MemberStatus) -> bool {
+    pub fn record(&mut self, now: Ms, from: MemberId, life: InstanceId, status: &MemberStatus) -> bool {
         if self.roster.get(&from).is_none_or(|entry| entry.life != life) {
             return false;
         }
@@ -114,7 +114,7 @@
     }
 
     /// The last status of that life, however old.
-    pub fn last_status(&self, member: MemberId, life: Life) -> Option<&MemberStatus> {
+    pub fn last_status(&self, member: MemberId, life: InstanceId) -> Option<&MemberStatus> {
         self.records.get(&member).filter(|record| record.life == life).map(|record| &record.status)
     }
 
--- a/rollout/src/lib.rs
+++ b/rollout/src/lib.rs
@@ -35,7 +35,7 @@
     evaluate_answer, evaluate_file, halted_by_evidence, FileDecision, OrderNotPut, ProposalResult,
 };
 pub use ottersail::time::Ms;
-pub use ottersail_membership::{Life, MemberId};
+pub use ottersail_membership::{InstanceId, MemberId};
 pub use permit_holder::{PermitHolder, UsablePermit};
 pub use permits::{MemberTime, Permit, PermitTable, MAX_PERMITS};
 pub use refusal::Refusal;
--- a/rollout/src/permit_holder.rs
+++ b/rollout/src/permit_holder.rs
@@ -7,7 +7,7 @@
 use crate::permits::{MemberTime, Permit, PermitTable};
 use crate::status::{MemberStatus, ViewingCounts};
 use ottersail::time::Ms;
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 
 /// Periods between two statuses while nothing changes.
 const STATUS_EVERY: f64 = 2.0;
@@ -27,7 +27,7 @@
 /// A member as the holder of a permit.
 #[derive(Clone, Debug)]
 pub struct PermitHolder {
-    own: (MemberId, Life),
+    own: (MemberId, InstanceId),
     born: Ms,
     version: Name,
     period: Ms,
@@ -47,14 +47,14 @@
 
 impl PermitHolder {
     /// A holder whose life begins at `now`; `period` is the members' period.
-    pub fn new(now: Ms, own: (MemberId, Life), version: Name, period: Ms) -> PermitHolder {
+    pub fn new(now: Ms, own: (MemberId, InstanceId), version: Name, period: Ms) -> PermitHolder {
         PermitHolder::with_guards(now, own, version, period, Guards::all())
     }
 
     /// The same with the given guards.
     pub fn with_guards(
         now: Ms,
-        own: (MemberId, Life),
+        own: (MemberId, InstanceId),
         version: Name,
         period: Ms,
         guards: Guards,
--- a/rollout/src/permits.rs
+++ b/rollout/src/permits.rs
@@ -2,7 +2,7 @@
 //! servers. All permits of a kind lie in one register, so their number is bounded by a single value.
 
 use crate::order::{Name, Serial};
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 use serde::{Deserialize, Serialize};
 
 const VERSION: u8 = 1;
@@ -20,7 +20,7 @@
 pub struct Permit {
     pub member: MemberId,
     /// The life that may leave; a later life of the same member may not.
-    pub life: Life,
+    pub life: InstanceId,
     /// When that life reported that it was ready. The permit may be used for the order's `use_ms` after this, by
     /// the member's own clock.
     pub requested_at: MemberTime,
--- a/rollout/src/schedule.rs
+++ b/rollout/src/schedule.rs
@@ -7,7 +7,7 @@
 use crate::order::{Name, Order, Scope, State};
 use crate::permits::{MemberTime, PermitTable};
 use ottersail::time::Ms;
-use ottersail_membership::{Life, MemberId};
+use ottersail_membership::{InstanceId, MemberId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An odd multiplier that spreads values over all bits (from the golden ratio).
@@ -135,7 +135,7 @@
         table: &PermitTable,
         limit: usize,
         skipped: &BTreeSet<MemberId>,
-    ) -> Option<(MemberId, Life, MemberTime)> {
+    ) -> Option<(MemberId, InstanceId, MemberTime)> {
         if table.permits.len() + self.done_count(now, order, table) >= limit {
             return None;
         }
--- a/rollout/src/tests/carry_out.rs
+++ b/rollout/src/tests/carry_out.rs
@@ -63,16 +63,16 @@
 
     /// At each point between permit and return.
     pub fn mishap(&mut self, node: usize) {
-        if self.chance.part() < self.faults.killed {
+        if self.chance.fraction() < self.faults.killed {
             self.kill(node, true);
-        } else if self.chance.part() < self.faults.stopped {
-            self.nodes[node].paused_until = self.now + Ms(self.chance.part() * 12e3);
+        } else if self.chance.fraction() < self.faults.stopped {
+            self.nodes[node].paused_until = self.now + Ms(self.chance.fraction() * 12e3);
         }
     }
 
     pub fn say(&mut self, node: usize, says: Vec<Say>) {
         let accepts = says.iter().any(|it| matches!(it, Say::To(_, Round::Accept(..))));
-        let half = accepts && self.chance.part() < self.faults.half;
+        let half = accepts && self.chance.fraction() < self.faults.half;
         let only = self.chance.below(self.councillors);
         if half {
             self.nodes[node].paused_until = self.now + Ms(10e3);
--- a/rollout/src/tests/coordinating.rs
+++ b/rollout/src/tests/coordinating.rs
@@ -85,7 +85,7 @@
             let counts = ViewingCounts { asked: 20 * second, blocked: bad, ..ViewingCounts::default() };
             let version = if released { go().version } else { go().previous_version };
             let told = MemberStatus { counts, version, ..stand(second * 1_000) };
-            coordinator.on_status(Ms(now), id(*member), Life(1), &told);
+            coordinator.on_status(Ms(now), id(*member), InstanceId(1), &told);
         }
         halted = halted.or(bell(&mut coordinator, now + 200.0).halts.pop());
     }
@@ -107,7 +107,7 @@
         coordinator.on_status(
             Ms(13e3),
             id(*member),
-            Life(1),
+            InstanceId(1),
             &MemberStatus { version, order_revision: 9, ..stand(13_000) },
         );
     }
--- a/rollout/src/tests/histories.rs
+++ b/rollout/src/tests/histories.rs
@@ -3,7 +3,7 @@
 use super::checker::Checker;
 use super::simulation::*;
 use crate::*;
-use ottersail_membership::chance::Chance;
+use ottersail_membership::rng::SeededRng;
 use test_case::test_case;
 
 /// By v1, v2 and v3; v3 never gets ready in some histories.
@@ -78,7 +78,9 @@
                 simulation.kill(it, true);
             }
         }),
-        1 | 2 => simulation.nodes[one].paused_until = simulation.now + Ms(simulation.chance.part() * 12e3),
+        1 | 2 => {
+            simulation.nodes[one].paused_until = simulation.now + Ms(simulation.chance.fraction() * 12e3)
+        }
         3 => simulation.nodes[one % simulation.councillors].paused_until = simulation.now + Ms(10e3),
         4 => drop(simulation.cut.insert((one, other))),
         5 => simulation
@@ -112,7 +114,7 @@
 }
 
 fn born(seed: u64, guards: Guards) -> (Simulation, Operator) {
-    let mut chance = Chance::new(seed ^ 0x5eed);
+    let mut chance = SeededRng::new(seed ^ 0x5eed);
     let members = [7, 9, 12, 18][chance.below(4)];
     let councillors = if members > 7 { [3, 5][chance.below(2)] } else { 3 };
     let most_out = 1 + chance.below(3) as u16;
@@ -138,7 +140,7 @@
 fn ill(seed: u64, guards: Guards) -> (Simulation, Operator) {
     let (mut simulation, mut operator) = born(seed, guards);
     while simulation.now < Ms(120e3) && simulation.checker.broken.is_none() {
-        let next = simulation.now + Ms(simulation.chance.part() * 4e3);
+        let next = simulation.now + Ms(simulation.chance.fraction() * 4e3);
         simulation.run(next);
         for _ in 0..simulation.chance.below(3) {
             fault(&mut simulation, &mut operator);
--- a/rollout/src/tests/rules.rs
+++ b/rollout/src/tests/rules.rs
@@ -11,7 +11,7 @@
 }
 
 pub fn permit(node: usize, asked: u64) -> Permit {
-    Permit { member: id(node), life: Life(1), requested_at: MemberTime(asked), version: name("v2") }
+    Permit { member: id(node), life: InstanceId(1), requested_at: MemberTime(asked), version: name("v2") }
 }
 
 pub fn book(permits: &[Permit]) -> PermitTable {
@@ -45,7 +45,7 @@
     let full = |count: usize| {
         let permit = |it: usize| Permit {
             member: MemberId(u64::MAX - 99 + it as u64),
-            life: Life(u64::MAX),
+            life: InstanceId(u64::MAX),
             requested_at: MemberTime(u64::MAX),
             version: long.clone(),
         };
@@ -115,7 +115,7 @@
     let mut coordinator = Coordinator::new(Ms(0.0), id(0), &all, PERIOD);
     let seen = |it: usize| {
         let (zone, name) = (Some(zone(it)), name(&format!("m{it}")));
-        (id(it), RosterEntry { life: Life(1), name, zone, presence: Presence::Alive })
+        (id(it), RosterEntry { life: InstanceId(1), name, zone, presence: Presence::Alive })
     };
     coordinator.set_roster(Ms(0.0), &whole.iter().map(|it| seen(*it)).collect::<BTreeMap<_, _>>());
     for at in [10, 11, 12, 13] {
@@ -123,7 +123,7 @@
             coordinator.on_status(
                 Ms(f64::from(at) * 1e3),
                 id(*node),
-                Life(1),
+                InstanceId(1),
                 &stand(u64::from(at as u16) * 1_000),
             );
         }
@@ -181,9 +181,9 @@
     let mut coordinator = councillor(ALL);
     assert!(allowed(&coordinator, 20e3) && !allowed(&coordinator, 20_001.0));
     // Seven seconds under way: told at 14 s, it counts until 21 s.
-    ALL.iter().for_each(|it| coordinator.on_status(Ms(21e3), id(*it), Life(1), &stand(14_000)));
+    ALL.iter().for_each(|it| coordinator.on_status(Ms(21e3), id(*it), InstanceId(1), &stand(14_000)));
     assert!(!allowed(&coordinator, 21.5e3));
-    ALL.iter().for_each(|it| coordinator.on_status(Ms(21.6e3), id(*it), Life(1), &stand(21_600)));
+    ALL.iter().for_each(|it| coordinator.on_status(Ms(21.6e3), id(*it), InstanceId(1), &stand(21_600)));
     assert!(!allowed(&coordinator, 21.7e3), "a gap: it settles anew");
 }
 
@@ -198,14 +198,14 @@
     coordinator.on_status(
         Ms(13e3),
         id(3),
-        Life(1),
+        InstanceId(1),
         &MemberStatus { discarded_until: MemberTime(11_999), ..stand(13_000) },
     );
     assert!(!gives(&coordinator));
     coordinator.on_status(
         Ms(13e3),
         id(3),
-        Life(1),
+        InstanceId(1),
         &MemberStatus { discarded_until: MemberTime(12_000), ..stand(13_000) },
     );
     assert!(gives(&coordinator));
@@ -229,7 +229,7 @@
 #[test_case(2_000.0, State::Halt, 1, false; "halted")]
 #[test_case(2_000.0, State::Go, 2, false; "of another life")]
 fn a_holder_goes(at: f64, state: State, life: u64, goes: bool) {
-    let mut holder = PermitHolder::new(Ms(0.0), (id(3), Life(life)), name("v1"), PERIOD);
+    let mut holder = PermitHolder::new(Ms(0.0), (id(3), InstanceId(life)), name("v1"), PERIOD);
     holder.set_ready(Ms(0.0), true);
     holder.on_order(Ms(0.0), 7, &go());
     holder.on_permits(Ms(1.1e3), 1, &book(&[permit(3, 1_000)]));
@@ -238,7 +238,7 @@
     holder.on_order(Ms(1.3e3), 8, &Order { state, serial: Serial(4), ..go() });
     // Whatever was asked for under another order is never used.
     assert_eq!(holder.usable_permit(Ms(1.4e3)), None);
-    let mut holder = PermitHolder::new(Ms(0.0), (id(3), Life(life)), name("v1"), PERIOD);
+    let mut holder = PermitHolder::new(Ms(0.0), (id(3), InstanceId(life)), name("v1"), PERIOD);
     holder.on_order(Ms(0.0), 7, &Order { state, ..go() });
     holder.on_permits(Ms(1.1e3), 1, &book(&[permit(3, 1_000)]));
     assert_eq!(holder.confirm_leaving(Ms(at), &going), goes);
--- a/simulation/src/parts.rs
+++ b/simulation/src/parts.rs
@@ -2,8 +2,8 @@
 //! others tell seconds old and slots used only a window after they were taken up; or equal parts for ever.
 //! The council itself is not modelled: a change takes until the next look.
 
-use ottersail_front::{Ms, Part};
-use ottersail_leases::{Guards, MemberId, Needs, Rider, Terms};
+use ottersail_front::{Ms, SlotShare};
+use ottersail_leases::{Demand, Guards, LeaseConfig, MemberId, SlotBalancer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Slots for each manager; `docs/parts.md` says at least so many.
@@ -21,11 +21,11 @@
 
 #[derive(Debug)]
 struct Member {
-    needs: Needs,
+    needs: SlotBalancer,
     arrivals: u32,
     /// Since when each slot has been held.
     held: BTreeMap<u64, f64>,
-    told: Option<Part>,
+    told: Option<SlotShare>,
 }
 
 #[derive(Debug)]
@@ -37,7 +37,7 @@
     members: Vec<Member>,
     free: BTreeSet<u64>,
     /// What all told at earlier looks, the oldest first.
-    riders: VecDeque<BTreeMap<MemberId, Option<Rider>>>,
+    riders: VecDeque<BTreeMap<MemberId, Option<Demand>>>,
 }
 
 fn id(member: usize) -> MemberId {
@@ -50,9 +50,10 @@
         let slots = (managers * SLOTS_EACH).min(6_144) as u16;
         #[allow(clippy::default_constructed_unit_structs)]
         let guards = Guards::default();
-        let terms = Terms { slots, lease_ms: lease as u32, drift_ppm: 1_000, councillors: vec![], guards };
+        let terms =
+            LeaseConfig { slots, lease_ms: lease as u32, drift_ppm: 1_000, councillors: vec![], guards };
         let members = (0..managers).map(|it| Member {
-            needs: Needs::born(Ms(now), id(it), terms.clone()),
+            needs: SlotBalancer::new(Ms(now), id(it), terms.clone()),
             arrivals: 0,
             held: BTreeMap::new(),
             told: None,
@@ -93,7 +94,7 @@
     }
 
     /// One look of all members: what each whose part is another is to be told.
-    pub fn look(&mut self, now: f64) -> Vec<(usize, Part)> {
+    pub fn look(&mut self, now: f64) -> Vec<(usize, SlotShare)> {
         if self.by == By::Need {
             self.go_by_need(now);
         }
@@ -103,7 +104,12 @@
             let ripe = it.held.iter().filter(|held| now >= held.1 + self.window);
             let leased = ripe.map(|held| *held.0).collect();
             // Leases are renewed for ever here.
-            let next = Part { kept: slots + ix as u64, leased, of: slots as f64 + all, until: f64::INFINITY };
+            let next = SlotShare {
+                own_slot: slots + ix as u64,
+                leased_slots: leased,
+                total_slots: slots as f64 + all,
+                lease_end_ms: f64::INFINITY,
+            };
             if it.told.as_ref() != Some(&next) {
                 it.told = Some(next.clone());
                 tells.push((ix, next));
@@ -119,10 +125,10 @@
         let mut riders = BTreeMap::new();
         for (ix, it) in self.members.iter_mut().enumerate() {
             let held = it.held.len() as u16;
-            it.needs.arrived(at, std::mem::take(&mut it.arrivals));
-            it.needs.roster(old.clone());
-            aims.push(usize::from(it.needs.aim(at, held)));
-            riders.insert(id(ix), Some(it.needs.rider(at, held)));
+            it.needs.record_arrivals(at, std::mem::take(&mut it.arrivals));
+            it.needs.set_others(old.clone());
+            aims.push(usize::from(it.needs.next_target(at, held)));
+            riders.insert(id(ix), Some(it.needs.demand(at, held)));
         }
         self.riders.push_back(riders);
         while self.riders.len() > LAG {
@@ -171,10 +177,10 @@
         let mut parts = after(By::Need, 600, 10);
         assert!(parts.members[0].held.len() > 12, "{:?}", parts.members[0].held);
         let told = parts.members[0].told.clone().unwrap();
-        assert_eq!((told.kept, told.of), (40, 50.0));
+        assert_eq!((told.own_slot, told.total_slots), (40, 50.0));
         let now = 600.0 * LOOK;
         parts.members[0].held.insert(99, now);
-        assert!(!parts.look(now + 1_999.0).iter().any(|it| it.1.leased.contains(&99)));
-        assert!(parts.look(now + 2_001.0).iter().any(|it| it.0 == 0 && it.1.leased.contains(&99)));
+        assert!(!parts.look(now + 1_999.0).iter().any(|it| it.1.leased_slots.contains(&99)));
+        assert!(parts.look(now + 2_001.0).iter().any(|it| it.0 == 0 && it.1.leased_slots.contains(&99)));
     }
 }
