--- a/rollout/src/tests/carry_out.rs
+++ b/rollout/src/tests/carry_out.rs
@@ -1,4 +1,4 @@
-//! Carries out what members wish.
+//! Carries out the effects of simulated members.
 
 use super::council::*;
 use super::simulation::*;
@@ -6,21 +6,21 @@
 use std::collections::BTreeMap;
 
 #[derive(Default)]
-struct Out {
-    stands: Vec<MemberStatus>,
+struct CollectedEffects {
+    statuses: Vec<MemberStatus>,
     asks: Vec<(Key, Change)>,
     events: Vec<Event>,
 }
 
-impl Effects for Out {
-    fn propose(&mut self, if_revision: u64, book: &PermitTable) {
-        self.asks.push((Key::PermitTable, Change::If(if_revision, book.encode())));
+impl Effects for CollectedEffects {
+    fn propose(&mut self, if_revision: u64, table: &PermitTable) {
+        self.asks.push((Key::PermitTable, Change::If(if_revision, table.encode())));
     }
     fn halt(&mut self, if_revision: u64, order: &Order) {
         self.asks.push((Key::Order, Change::If(if_revision, order.encode())));
     }
-    fn send_status(&mut self, stand: &MemberStatus) {
-        self.stands.push(stand.clone());
+    fn send_status(&mut self, status: &MemberStatus) {
+        self.statuses.push(status.clone());
     }
     fn report(&mut self, event: Event) {
         self.events.push(event);
@@ -28,9 +28,9 @@
 }
 
 impl Simulation {
-    /// Gives a member an input, and carries out what it wishes.
+    /// Gives a member an input and carries out its effects.
     pub fn input(&mut self, node: usize, give: impl FnOnce(&mut Node, Ms, &mut dyn Effects)) {
-        let (now, mut out) = (self.local(node), Out::default());
+        let (now, mut out) = (self.local(node), CollectedEffects::default());
         let it = &mut self.nodes[node];
         give(it, now, &mut out);
         let bell = it
@@ -46,22 +46,22 @@
         }
         let at = self.now;
         self.events.extend(out.events.into_iter().map(|it| (at, it)));
-        for stand in out.stands {
-            let body = Body::MemberStatus(life, stand);
+        for status in out.statuses {
+            let body = Body::MemberStatus(life, status);
             (0..self.councillors).for_each(|to| self.send(node, to, &body));
         }
         for (key, change) in out.asks {
             let says = self.nodes[node].council.as_mut().map(|it| it.ask(now, key, change));
             self.say(node, says.unwrap_or_default());
         }
-        if let Some(going) = wants.filter(|_| !self.nodes[node].leaving) {
+        if let Some(permit_in_use) = wants.filter(|_| !self.nodes[node].leaving) {
             self.nodes[node].leaving = true;
-            self.after(5.0, 50.0, node, Body::Stopped(life, going));
+            self.after(5.0, 50.0, node, Body::Stopped(life, permit_in_use));
             self.mishap(node);
         }
     }
 
-    /// At each point between permit and return.
+    /// A random fault at one of the points between permit and return.
     pub fn mishap(&mut self, node: usize) {
         if self.chance.fraction() < self.faults.killed {
             self.kill(node, true);
--- a/rollout/src/tests/checker.rs
+++ b/rollout/src/tests/checker.rs
@@ -1,14 +1,14 @@
-//! Judges a fleet in true time, knowing what is so.
+//! Checks the simulated fleet in true time, with knowledge of its actual state.
 
 use super::council::{Ballot, Value};
 use super::simulation::{zone, PERIOD};
 use crate::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is so, whoever knows it.
+/// The actual state of the fleet.
 pub struct Truth<'a> {
     pub now: Ms,
-    /// Takes viewings at this moment.
+    /// Which members take viewings at this moment.
     pub serves: &'a [bool],
     pub councillors: usize,
     pub cut: &'a BTreeSet<(usize, usize)>,
@@ -16,11 +16,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Broken {
-    /// More out by order than most-out, in the whole or in a zone.
+    /// More members out by order than the bound of the fleet or of a zone.
     Bound,
-    /// The same with those gone by accident for longer than it takes to see.
+    /// The same, including members gone by accident for longer than detection takes.
     Accidents,
-    /// Gone out after a halt, past the time to use a permit.
+    /// A member left after a halt, later than a permit may be used.
     Halt,
     /// Two councillors out by order.
     Councillors,
@@ -29,11 +29,11 @@
 pub struct Checker {
     pub bounds: Bounds,
     pub use_ms: u32,
-    /// Gone out by order and not whole again.
+    /// Members that left by order and are not ready again.
     pub out: BTreeSet<usize>,
     pub most_seen: usize,
     pub went: usize,
-    /// Since when each serves not, and since when it is not heard by which councillor.
+    /// Since when each member takes no viewings, or cannot be heard by that councillor.
     since: BTreeMap<(usize, Option<usize>), Ms>,
     accepted: BTreeMap<Ballot, BTreeSet<usize>>,
     halted: Option<(Serial, Ms)>,
@@ -52,7 +52,7 @@
         self.out.remove(&node);
     }
 
-    /// That councillor has accepted an order: chosen once a majority has, and from then on.
+    /// That councillor has accepted an order. It is chosen once a majority has accepted it.
     pub fn accepted(&mut self, now: Ms, node: usize, ballot: Ballot, value: &Value, councillors: usize) {
         let by = self.accepted.entry(ballot).or_default();
         by.insert(node);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// To be asked whenever anything changes about who serves or who is cut.
+    /// Has to be called whenever a member or a link changes.
     pub fn look(&mut self, truth: &Truth) {
         for (node, serves) in truth.serves.iter().enumerate() {
             self.note((node, None), !serves, truth.now);
--- a/rollout/src/tests/council.rs
+++ b/rollout/src/tests/council.rs
@@ -1,5 +1,5 @@
-//! A simple model of the council: two CASPaxos registers (Rystsov 2018), what was promised kept through
-//! restarts. Each acceptor asks its own conductor's guard.
+//! A simple model of the council: two CASPaxos registers (Rystsov 2018) whose promises survive restarts. Each acceptor
+//! consults the guard of its own coordinator.
 
 use crate::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,9 +15,9 @@
 
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// That body, if the register is at that revision.
+    /// Sets that body if the register is at that revision.
     If(u64, Vec<u8>),
-    /// An operator's file: that order, if it follows the one that stands.
+    /// Sets the order of an operator's file if it may replace the one in force.
     File(Order),
 }
 
@@ -46,7 +46,7 @@
     value: Option<(Value, bool)>,
 }
 
-/// What a councillor says: a round to another, an outcome to its own conductor, or what is chosen.
+/// An output of a councillor: a message to another one, or an outcome for its own conductor, or what is chosen.
 pub enum Say {
     To(usize, Round),
     Ended(Key, Option<(Value, bool)>),
@@ -116,7 +116,7 @@
             }
             Round::Accept(key, ballot, value) => {
                 let promised = self.registers.entry(key).or_default().promised;
-                // An empty register that is read is written back empty.
+                // A read of an empty register writes it back empty.
                 let allowed = value.0 == 0 || self.allows(now, coordinator, key, &value.1, guards);
                 if ballot < promised || !allowed {
                     return vec![Say::To(from, Round::No(ballot, promised))];
--- a/rollout/src/tests/histories.rs
+++ b/rollout/src/tests/histories.rs
@@ -1,4 +1,4 @@
-//! Random histories of whole fleets, judged in true time.
+//! Random histories of whole fleets, checked in true time.
 
 use super::checker::Checker;
 use super::simulation::*;
@@ -6,7 +6,7 @@
 use ottersail_membership::rng::SeededRng;
 use test_case::test_case;
 
-/// By v1, v2 and v3; v3 never gets ready in some histories.
+/// An order of a history with the versions v1, v2 and v3; in some histories v3 never gets ready.
 pub fn order(serial: u64, members: usize, most_out: u16, version: &str, state: State) -> Order {
     let mut zones = std::collections::BTreeMap::new();
     for node in 0..members {
@@ -33,7 +33,7 @@
 }
 
 impl Operator {
-    /// A file is read at some manager: it asks some councillor, or two sides do at once.
+    /// Some manager reads a file and sends it to some councillor; sometimes two managers do so at once.
     fn reads(&mut self, simulation: &mut Simulation) {
         let last = self.files.last().unwrap().clone();
         let state = [State::Go, State::Go, State::Halt, State::Back][simulation.chance.below(4)];
@@ -50,7 +50,7 @@
             .clone()];
         }
         if simulation.chance.below(3) == 0 {
-            // The other side means something else by the same serial.
+            // The second file has another order under the same serial.
             let state = [State::Go, State::Back][simulation.chance.below(2)];
             self.asks(simulation, Order { state, ..next.clone() });
         }
@@ -67,7 +67,7 @@
     }
 }
 
-/// One of what goes wrong.
+/// Injects one random fault.
 fn fault(simulation: &mut Simulation, operator: &mut Operator) {
     let members = simulation.nodes.len();
     let (one, other) = (simulation.chance.below(members), simulation.chance.below(members));
@@ -87,7 +87,7 @@
             .cut
             .extend((0..members).map(|it| (it, one % simulation.councillors)).filter(|it| it.0 != it.1)),
         6 => {
-            // What that one says does not get to most councillors; it hears all.
+            // This member cannot reach most councillors, but receives everything.
             let most = simulation.councillors / 2 + 1;
             simulation.cut.extend((0..most).map(|it| (one, it)).filter(|it| it.0 != it.1));
         }
@@ -98,7 +98,7 @@
         }
         8 | 9 => simulation.cut.clear(),
         10 => operator.reads(simulation),
-        // An old file is read again, or evidence speaks.
+        // An old file is read again.
         11 => {
             let old = operator.files[simulation.chance.below(operator.files.len())].clone();
             operator.asks(simulation, old);
@@ -113,7 +113,7 @@
     simulation.look(None);
 }
 
-fn born(seed: u64, guards: Guards) -> (Simulation, Operator) {
+fn new_history(seed: u64, guards: Guards) -> (Simulation, Operator) {
     let mut chance = SeededRng::new(seed ^ 0x5eed);
     let members = [7, 9, 12, 18][chance.below(4)];
     let councillors = if members > 7 { [3, 5][chance.below(2)] } else { 3 };
@@ -136,9 +136,9 @@
     (simulation, operator)
 }
 
-/// Two minutes of faults.
-fn ill(seed: u64, guards: Guards) -> (Simulation, Operator) {
-    let (mut simulation, mut operator) = born(seed, guards);
+/// A history with two minutes of faults.
+fn run_with_faults(seed: u64, guards: Guards) -> (Simulation, Operator) {
+    let (mut simulation, mut operator) = new_history(seed, guards);
     while simulation.now < Ms(120e3) && simulation.checker.broken.is_none() {
         let next = simulation.now + Ms(simulation.chance.fraction() * 4e3);
         simulation.run(next);
@@ -149,8 +149,8 @@
     (simulation, operator)
 }
 
-/// Then all is well, and the operator orders v2 for all. Whether the release ends, and when.
-fn well(simulation: &mut Simulation, operator: &mut Operator) -> Option<Ms> {
+/// Ends all faults and orders v2 for all members. Returns how long the release took, if it ended.
+fn run_without_faults(simulation: &mut Simulation, operator: &mut Operator) -> Option<Ms> {
     (simulation.faults, simulation.bad) = (Faults::default(), None);
     simulation.cut.clear();
     let now = simulation.now;
@@ -176,8 +176,12 @@
 }
 
 fn history(seed: u64, guards: Guards) -> Result<(usize, usize), String> {
-    let (mut simulation, mut operator) = ill(seed, guards);
-    let ended = if simulation.checker.broken.is_none() { well(&mut simulation, &mut operator) } else { None };
+    let (mut simulation, mut operator) = run_with_faults(seed, guards);
+    let ended = if simulation.checker.broken.is_none() {
+        run_without_faults(&mut simulation, &mut operator)
+    } else {
+        None
+    };
     match simulation.checker.broken {
         Some((at, broken)) => Err(format!("seed {seed}: {broken:?} at {at:?}")),
         None if ended.is_none() => Err(format!("seed {seed}: it does not end")),
@@ -210,7 +214,8 @@
     histories(seeds);
 }
 
-// Ranges begin not far from the first that breaks, to save minutes; docs/releases.md has the first from 0.
+// Each range begins shortly before the first seed that fails, which saves minutes; docs/releases.md lists the first
+// failing seed counted from 0.
 #[test_case(|it| it.count_unready_as_out = false, 0..300; "accidents")]
 #[test_case(|it| it.count_permits_as_out = false, 0..300; "permits")]
 #[test_case(|it| it.zone_bounds = false, 0..300; "zones")]
@@ -221,10 +226,10 @@
 #[test_case(|it| it.recheck_before_leaving = false, 270..1_500; "stop first")]
 #[test_case(|it| it.status_expiry = false, 210..1_500; "fresh")]
 #[test_case(|it| it.serial_order = false, 0..1_500; "serials")]
-fn without_a_guard_a_history_breaks(take_out: fn(&mut Guards), mut seeds: std::ops::Range<u64>) {
+fn removing_a_guard_breaks_a_history(take_out: fn(&mut Guards), mut seeds: std::ops::Range<u64>) {
     let mut guards = Guards::all();
     take_out(&mut guards);
-    let broken = |seed: u64| Some((seed, ill(seed, guards).0.checker.broken?));
+    let broken = |seed: u64| Some((seed, run_with_faults(seed, guards).0.checker.broken?));
     let first = seeds.find_map(broken);
     println!("first broken: {first:?}");
     assert!(first.is_some(), "{seeds:?}: histories without it and no harm");
@@ -234,8 +239,8 @@
 #[ignore = "by hand, for one that breaks: SEED=8"]
 fn one_by_hand() {
     let seed = std::env::var("SEED").unwrap().parse().unwrap();
-    let (mut simulation, mut operator) = ill(seed, Guards::all());
-    let ended = well(&mut simulation, &mut operator);
+    let (mut simulation, mut operator) = run_with_faults(seed, Guards::all());
+    let ended = run_without_faults(&mut simulation, &mut operator);
     for (at, note) in simulation.events.iter().rev().take(12).rev() {
         println!("{at:?} {note}");
     }
--- a/rollout/src/tests/member_life.rs
+++ b/rollout/src/tests/member_life.rs
@@ -1,4 +1,4 @@
-//! What happens to one member: what it learns, how it goes and comes back, what its roster says.
+//! The life of one simulated member: what it learns, how it leaves and returns, and what its roster says.
 
 use super::checker::Truth;
 use super::council::{Key, Value};
@@ -15,22 +15,22 @@
         self.input(node, |it, now, _| it.tell(now, key, &value));
     }
 
-    /// Once more with a fresh clock; then it goes, or takes again.
-    pub fn stopped(&mut self, node: usize, going: &UsablePermit) {
+    /// Confirms the permit with a fresh clock: the member leaves, or takes viewings again.
+    pub fn stopped(&mut self, node: usize, permit_in_use: &UsablePermit) {
         self.nodes[node].leaving = false;
         let now = self.local(node);
-        if !self.nodes[node].holder.confirm_leaving(now, going) {
+        if !self.nodes[node].holder.confirm_leaving(now, permit_in_use) {
             return self.input(node, |_, _, _| {});
         }
         self.input(node, |it, now, _| it.holder.set_ready(now, false));
         self.nodes[node].ready = false;
         self.look(Some(node));
         self.kill(node, false);
-        self.after(300.0, 1.5e3, node, Body::Start(going.version.clone()));
+        self.after(300.0, 1.5e3, node, Body::Start(permit_in_use.version.clone()));
         self.mishap(node);
     }
 
-    /// The judge looks; one may be going out by order.
+    /// Lets the checker inspect the fleet; `goes` is a member that leaves by order.
     pub fn look(&mut self, goes: Option<usize>) {
         let serves = |it: &Node| it.up && it.ready && it.paused_until <= self.now;
         let serves: Vec<bool> = self.nodes.iter().map(serves).collect();
@@ -39,7 +39,7 @@
         goes.into_iter().for_each(|it| self.checker.goes(it, &truth));
     }
 
-    /// By accident: its supervisor starts the same version again.
+    /// Kills a member. After an accident its supervisor starts the same version again.
     pub fn kill(&mut self, node: usize, accident: bool) {
         self.look(None);
         let (version, up) = (self.nodes[node].version.clone(), self.nodes[node].up);
@@ -64,10 +64,10 @@
         if let Some(council) = &mut it.council {
             council.restart();
             let mut coordinator = Coordinator::with_guards(now, id(node), &all, PERIOD, guards);
-            if let Some((revision, book)) =
+            if let Some((revision, table)) =
                 council.registers.get(&Key::PermitTable).and_then(|it| it.accepted.clone()).map(|it| it.1)
             {
-                coordinator.on_accepted(now, revision, &PermitTable::decode(&book).unwrap_or_default());
+                coordinator.on_accepted(now, revision, &PermitTable::decode(&table).unwrap_or_default());
             }
             it.coordinator = Some(coordinator);
         }
@@ -78,7 +78,7 @@
         self.mishap(node);
     }
 
-    /// Twice a second: news to some other, and what a councillor's roster says.
+    /// Twice a second: sends chosen values to a random member, and updates a councillor's roster.
     pub fn tick(&mut self, node: usize) {
         self.put(self.now + Ms(500.0), node, node, Body::Tick);
         if !self.nodes[node].up {
@@ -130,9 +130,9 @@
                 self.coordinator.as_mut().into_iter().for_each(|it| it.on_order(now, *revision, &order));
             }
             Key::PermitTable => {
-                let book = PermitTable::decode(body).unwrap();
-                self.holder.on_permits(now, *revision, &book);
-                self.coordinator.as_mut().into_iter().for_each(|it| it.on_permits(now, *revision, &book));
+                let table = PermitTable::decode(body).unwrap();
+                self.holder.on_permits(now, *revision, &table);
+                self.coordinator.as_mut().into_iter().for_each(|it| it.on_permits(now, *revision, &table));
             }
         }
     }
--- a/rollout/src/tests/simulation.rs
+++ b/rollout/src/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! A fleet in true time: clocks that run apart, messages lost, late, doubled or cut one way, processes killed
-//! or standing still, and the supervisor that starts the version ordered.
+//! A simulated fleet in true time: clocks that drift, messages that are lost, late, duplicated or cut in one direction,
+//! processes that are killed or paused, and the supervisor that starts the ordered version.
 
 use super::checker::Checker;
 use super::council::*;
@@ -19,20 +19,21 @@
     Tick,
     Ready(InstanceId),
     Start(Name),
-    /// Nothing more is taken; the clock is looked at again.
+    /// The member takes no viewings any more; the permit is confirmed.
     Stopped(InstanceId, UsablePermit),
 }
 
-/// What goes wrong by chance; all 0 when well.
+/// Probabilities of faults; all 0 without faults.
 #[derive(Clone, Copy, Default)]
 pub struct Faults {
     pub loss: f64,
     pub slow: f64,
     pub twice: f64,
-    /// A holder killed, or standing still, at each point between permit and return.
+    /// A holder is killed, at each point between permit and return.
     pub killed: f64,
+    /// A holder is paused, at each point between permit and return.
     pub stopped: f64,
-    /// A proposal that one councillor alone hears of, while its proposer stands still for 10 s.
+    /// A proposal reaches only one councillor, and its proposer is paused for 10 s.
     pub half: f64,
 }
 
@@ -48,7 +49,7 @@
     pub holder: PermitHolder,
     pub coordinator: Option<Coordinator>,
     pub council: Option<Councillor>,
-    /// Of each member, for councillors: its life and when it was heard of last.
+    /// For councillors: the instance of each member and when it was last heard of.
     pub heard: Vec<(InstanceId, Ms)>,
     pub bell: Ms,
     pub leaving: bool,
@@ -65,9 +66,9 @@
     pub guards: Guards,
     pub checker: Checker,
     pub events: Vec<(Ms, Event)>,
-    /// Never gets ready.
+    /// A version that never gets ready.
     pub bad: Option<Name>,
-    /// How long a start takes until it is whole, at least and at most.
+    /// The least and greatest time in milliseconds from a start until the member is ready.
     pub start: (f64, f64),
     queue: BTreeMap<(Ms, u64), (usize, usize, Body)>,
     count: u64,
@@ -172,7 +173,7 @@
         Ms(it.offset + self.now.0 * it.rate)
     }
 
-    /// All that happens up to then.
+    /// Runs the simulation up to that time.
     pub fn run(&mut self, until: Ms) {
         while let Some(((at, _), (from, to, body))) = self.queue.pop_first() {
             if at > until {
@@ -204,8 +205,8 @@
                     it.coordinator.as_mut().into_iter().for_each(|it| it.on_timer(now, out));
                 });
             }
-            Body::MemberStatus(life, stand) => self.input(to, |it, now, _| {
-                it.coordinator.as_mut().into_iter().for_each(|it| it.on_status(now, id(from), life, &stand));
+            Body::MemberStatus(life, status) => self.input(to, |it, now, _| {
+                it.coordinator.as_mut().into_iter().for_each(|it| it.on_status(now, id(from), life, &status));
             }),
             Body::News(values) => {
                 values.into_iter().for_each(|(key, value)| self.learn(to, key, value));
@@ -216,7 +217,9 @@
                 self.input(to, |it, now, _| it.holder.set_ready(now, true));
                 self.mishap(to);
             }
-            Body::Stopped(life, going) if self.nodes[to].life == life => self.stopped(to, &going),
+            Body::Stopped(life, permit_in_use) if self.nodes[to].life == life => {
+                self.stopped(to, &permit_in_use)
+            }
             Body::File(order) => {
                 let now = self.local(to);
                 let says =
