--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -1,24 +1,24 @@
-//! Members: a task on the owner's executor with one socket for datagrams, the machine of `ottersail-membership`
+//! Membership: a task on the owner's executor with one datagram socket, the state machine of `ottersail-membership`
 //! and its gate. It carries bytes, time and wishes between them; nothing is decided here.
 
-mod book;
+mod address_book;
 mod council;
-mod door;
-mod figures;
-mod hands;
-mod lines;
-mod second;
+mod effects;
+mod http_address;
+mod http_probe;
+mod log;
+mod metrics;
 
 use crate::error::RunError;
 use crate::owner::PlacementOwner;
 use crate::run::load_member_keys;
 use crate::settings::manager::ManagerSettings;
+use address_book::AddressBook;
 use async_channel::{Receiver, Sender};
-use book::Book;
-use council::{Council, Counsel};
-pub use door::MEMBER_HEADER;
-use door::{Door, Doors, Knocks};
-use hands::Hands;
+use council::{Council, CouncilTasks};
+use effects::MemberEffects;
+pub use http_address::MEMBER_HEADER;
+use http_address::{HttpAddress, HttpAddresses, ProbeLimit};
 use ottersail_membership::auth::{DatagramAuth, Opened};
 use ottersail_membership::{
     Address, InstanceId, LocalMember, MemberId, Members, MembershipConfig, Message, Sender as From,
@@ -33,13 +33,15 @@
 use std::time::{Duration, Instant};
 use tracing::info;
 
-/// Datagrams taken in a row, and the rest after it. Guards viewers, whose requests wait on the same thread:
-/// a flood takes a few hundredths of it, and the system drops what comes past that.
-const AT_ONCE: usize = 32;
-const REST: Duration = Duration::from_millis(1);
-/// One byte more than a datagram may have, so that a longer one is seen as such.
-const ROOM: usize = ottersail_membership::auth::MAX_DATAGRAM_BYTES + 1;
+/// Datagrams handled in a row before a pause. Viewers' requests wait on the same thread; with the pause a flood of
+/// datagrams takes a few hundredths of it, and the operating system drops the excess.
+const DATAGRAMS_IN_A_ROW: usize = 32;
+/// The pause after [`DATAGRAMS_IN_A_ROW`] datagrams.
+const PAUSE: Duration = Duration::from_millis(1);
+/// Size of the receive buffer: one byte more than a datagram may have, so that a longer one is noticed.
+const BUFFER_BYTES: usize = ottersail_membership::auth::MAX_DATAGRAM_BYTES + 1;
 
+/// This manager's membership and its part in the council.
 pub struct Fleet {
     me: Weak<Fleet>,
     exec: Executor,
@@ -48,27 +50,27 @@
     socket: Datagrams,
     members: RefCell<Members>,
     gate: RefCell<DatagramAuth>,
-    book: RefCell<Book>,
-    /// Its own HTTP address and those that others have told.
-    door: Option<Door>,
-    doors: RefCell<Doors>,
-    knocks: Knocks,
+    addresses: RefCell<AddressBook>,
+    /// Its own HTTP address.
+    http_address: Option<HttpAddress>,
+    http_addresses: RefCell<HttpAddresses>,
+    probe_limit: ProbeLimit,
     period: Duration,
-    armed: Cell<f64>,
-    rearm: (Sender<()>, Receiver<()>),
-    tally: figures::Tally,
-    counsel: Counsel,
+    timer_at: Cell<f64>,
+    timer_changed: (Sender<()>, Receiver<()>),
+    counters: metrics::TrafficCounters,
+    council_tasks: CouncilTasks,
 }
 
-/// Chance of the system's, that nobody can guess from outside.
-fn unguessed() -> u64 {
+/// A random number from the operating system that cannot be predicted from outside.
+fn unpredictable() -> u64 {
     RandomState::new().build_hasher().finish()
 }
 
-/// The machine's terms from the settings; `None` if they have no `[members]`.
+/// The membership configuration from the settings; `None` if they have no `[members]`.
 ///
 /// # Errors
-/// What the machine would not take.
+/// If the configuration is invalid.
 pub fn member_terms(
     manager: &ManagerSettings,
     life: InstanceId,
@@ -88,29 +90,29 @@
 }
 
 impl Fleet {
-    /// Starts the tasks; `None` without `[members]`: then nothing is opened at all.
+    /// Starts the tasks; `None` without `[members]`, and then no socket is opened.
     ///
     /// # Errors
-    /// If the address can't be had, or the keys.
+    /// If the address cannot be bound or the keys cannot be loaded.
     pub fn start(
         exec: Executor,
         seed: u64,
         manager: &ManagerSettings,
         owner: &Rc<PlacementOwner>,
     ) -> Result<Option<Rc<Fleet>>, RunError> {
-        let life = InstanceId(unguessed());
+        let life = InstanceId(unpredictable());
         let (Some(told), Some(terms)) = (&manager.members, member_terms(manager, life)?) else {
             return Ok(None);
         };
         let address = SocketAddr::V4(told.listen);
         let socket = Datagrams::bind(address).map_err(|cause| RunError::Datagrams { address, cause })?;
         let gate =
-            DatagramAuth::new(terms.local.id, life, &told.cluster, load_member_keys(told)?, unguessed());
+            DatagramAuth::new(terms.local.id, life, &told.cluster, load_member_keys(told)?, unpredictable());
         let (id, name) = (terms.local.id, told.name.clone());
         let mut members = Members::new(ottersail::time::Ms(0.0), seed, terms);
-        let door = Door::of(&manager.listen, told.advertise);
+        let door = HttpAddress::of(&manager.listen, told.advertise);
         if let Some(door) = door {
-            members.set_piggyback(door::TOPIC, &door.bytes());
+            members.set_piggyback(http_address::TOPIC, &door.encode());
         }
         let council = Council::born(ottersail::time::Ms(0.0), seed, life, manager);
         let fleet = Rc::new_cyclic(|me| Fleet {
@@ -121,79 +123,84 @@
             socket,
             members: RefCell::new(members),
             gate: RefCell::new(gate),
-            book: RefCell::default(),
-            door,
-            doors: RefCell::default(),
-            knocks: Knocks::default(),
+            addresses: RefCell::default(),
+            http_address: door,
+            http_addresses: RefCell::default(),
+            probe_limit: ProbeLimit::default(),
             period: Duration::from_secs_f64(told.period.0 / 1e3),
-            armed: Cell::new(f64::INFINITY),
-            rearm: async_channel::bounded(1),
-            tally: figures::Tally::default(),
-            counsel: Counsel::new(council, owner),
+            timer_at: Cell::new(f64::INFINITY),
+            timer_changed: async_channel::bounded(1),
+            counters: metrics::TrafficCounters::default(),
+            council_tasks: CouncilTasks::new(council, owner),
         });
         info!(target: "members", name, %id, %life, listen = %told.listen, cluster = told.cluster, "member");
         exec.spawn(fleet.clone().listen()).detach();
-        exec.spawn(fleet.clone().ring()).detach();
-        fleet.counsel();
+        exec.spawn(fleet.clone().run_timer()).detach();
+        fleet.start_council();
         Ok(Some(fleet))
     }
 
-    /// Milliseconds of this process's own monotonic clock.
+    /// Milliseconds since the fleet started, by the process's monotonic clock.
     fn now(&self) -> ottersail::time::Ms {
         ottersail::time::Ms(self.began.elapsed().as_secs_f64() * 1e3)
     }
 
-    /// One input of the machine, and what it wishes.
-    fn told(&self, partner: Option<(Address, MemberId)>, input: impl FnOnce(&mut Members, &mut Hands)) {
-        let (dials, met, heard) = (Vec::new(), Vec::new(), Vec::new());
-        let mut hands = Hands { fleet: self, partner, dials, met, heard, changed: false };
+    /// Passes one input to the membership and carries out its effects. `partner` is the sender that is being answered.
+    fn with_members(
+        &self,
+        partner: Option<(Address, MemberId)>,
+        input: impl FnOnce(&mut Members, &mut MemberEffects),
+    ) {
+        let (dials, newly_alive, heard) = (Vec::new(), Vec::new(), Vec::new());
+        let mut effects = MemberEffects { fleet: self, partner, dials, newly_alive, heard, changed: false };
         let mut members = self.members.borrow_mut();
-        input(&mut members, &mut hands);
-        if hands.changed {
-            self.book.borrow_mut().read(members.others());
-            self.doors.borrow_mut().keep(members.others());
+        input(&mut members, &mut effects);
+        if effects.changed {
+            self.addresses.borrow_mut().read(members.others());
+            self.http_addresses.borrow_mut().prune(members.others());
         }
-        // Riders come with probes, one a period: by then a new member might be heard by nobody.
-        for id in std::mem::take(&mut hands.met) {
+        // Piggybacked data comes with probes, one a period; until then a new member might be unreachable for all.
+        for id in std::mem::take(&mut effects.newly_alive) {
             let now = self.now();
-            self.door.map(|it| members.send_message(now, id, door::TOPIC, &it.bytes(), &mut hands));
+            self.http_address
+                .map(|it| members.send_message(now, id, http_address::TOPIC, &it.encode(), &mut effects));
         }
-        let Hands { dials, heard, .. } = hands;
+        let MemberEffects { dials, heard, .. } = effects;
         let due = members.next_deadline().0;
         drop(members);
         dials.into_iter().for_each(|(to, tag)| self.dial(to, tag));
-        if due < self.armed.get() {
-            _ = self.rearm.0.try_send(());
+        if due < self.timer_at.get() {
+            _ = self.timer_changed.0.try_send(());
         }
-        self.above(heard);
+        self.on_upper_layer(heard);
     }
 
     async fn listen(self: Rc<Fleet>) {
-        let mut bytes = [0; ROOM];
+        let mut bytes = [0; BUFFER_BYTES];
         let mut in_a_row = 0;
         loop {
             let heard = self.socket.receive(&mut bytes).await;
             match heard {
                 Ok((count, SocketAddr::V4(from))) => self.heard(from, &bytes[..count]),
-                // What the system tells of earlier sends, such as a port that nobody holds.
-                Ok(_) | Err(_) => self.tally.odd.set(self.tally.odd.get() + 1),
+                // An error that the system reports for an earlier send, such as an unused port.
+                Ok(_) | Err(_) => self.counters.odd.set(self.counters.odd.get() + 1),
             }
             in_a_row += 1;
-            if in_a_row >= AT_ONCE {
+            if in_a_row >= DATAGRAMS_IN_A_ROW {
                 in_a_row = 0;
-                Timer::after(REST).await;
+                Timer::after(PAUSE).await;
             }
         }
     }
 
     fn heard(&self, from: Address, bytes: &[u8]) {
-        self.tally.taken(bytes.len());
+        self.counters.taken(bytes.len());
         let now = self.now();
         let opened = self.gate.borrow_mut().open::<Message>(now, bytes);
         match opened {
             Opened::Message { from: id, instance, message } => {
                 let sender = From { id, instance, address: from };
-                self.told(Some((from, id)), |it, out| it.handle_message(now, sender, message, out));
+                self.with_members(Some((from, id)), |it, out| it.handle_message(now, sender, message, out));
             }
             Opened::Challenge(reply) | Opened::Resend(reply) => self.send(&reply, from),
             Opened::Dropped(_) => {}
@@ -201,39 +208,39 @@
     }
 
     fn send(&self, bytes: &[u8], to: Address) {
-        self.tally.sent(bytes.len());
+        self.counters.sent(bytes.len());
         self.socket.send(bytes, to.into());
     }
 
-    /// Rings when the machine wants to be rung.
-    async fn ring(self: Rc<Fleet>) {
+    /// Calls the membership whenever its timer expires.
+    async fn run_timer(self: Rc<Fleet>) {
         loop {
             let due = self.members.borrow().next_deadline();
-            self.armed.set(due.0);
+            self.timer_at.set(due.0);
             let at = self.began + Duration::from_secs_f64(due.0.clamp(0.0, 1e12) / 1e3);
             futures_lite::future::or(Timer::at(at), async {
-                _ = self.rearm.1.recv().await;
+                _ = self.timer_changed.1.recv().await;
             })
             .await;
             let now = self.now();
             if self.members.borrow().next_deadline() <= now {
-                self.told(None, |it, out| it.handle_deadline(now, out));
+                self.with_members(None, |it, out| it.handle_deadline(now, out));
             }
-            // Other tasks have their turn between two rings, however many are due.
+            // Other tasks run between two timers, however many are due.
             futures_lite::future::yield_now().await;
         }
     }
 
-    /// Other keys from now on; whoever is believed stays so.
+    /// Uses other keys from now on; the states of known members stay.
     pub fn rekey(&self, keys: &Keys) {
         self.gate.borrow_mut().set_keys(keys);
     }
 
-    /// Gives back what was leased, for so long at most, and tells the others that this one goes.
+    /// Returns the leased slots, waiting no longer than `at_most`, and announces that this member leaves.
     pub async fn leave(&self, at_most: Duration) {
         self.give_back(at_most).await;
         let now = self.now();
-        self.told(None, |it, out| it.leave(now, out));
+        self.with_members(None, |it, out| it.leave(now, out));
         info!(target: "members", name = self.name, "left");
     }
 }
--- a/daemon/src/fleet/book.rs
+++ b/daemon/src/fleet/address_book.rs
@@ -1,13 +1,13 @@
-//! Whose address is whose.
+//! Which member has which address.
 
 use ottersail_membership::{Address, MemberId, MemberView, State};
 use std::collections::BTreeMap;
 
-/// The id at each address, where it is one alone: what is sealed for an id is of no use to another.
+/// The member at each address, if there is exactly one: a message sealed for one member is useless to another.
 #[derive(Debug, Default)]
-pub(super) struct Book(BTreeMap<Address, Option<MemberId>>);
+pub(super) struct AddressBook(BTreeMap<Address, Option<MemberId>>);
 
-impl Book {
+impl AddressBook {
     pub fn read<'a>(&mut self, roster: impl Iterator<Item = (&'a MemberId, &'a MemberView)>) {
         self.0.clear();
         for (id, known) in roster.filter(|it| matches!(it.1.state, State::Alive | State::Suspect)) {
@@ -50,7 +50,7 @@
             (MemberId(4), known(1, State::Alive)),
             (MemberId(5), known(2, State::Left)),
         ];
-        let mut book = Book::default();
+        let mut book = AddressBook::default();
         book.read(roster.iter().map(|it| (&it.0, &it.1)));
         let at = |port| book.id(Address::new([127, 0, 0, 1].into(), port));
         assert_eq!([at(1), at(2), at(3), at(9)], [None, Some(MemberId(2)), None, None]);
--- a/daemon/src/fleet/council.rs
+++ b/daemon/src/fleet/council.rs
@@ -3,53 +3,53 @@
 //! sent, kept and told comes out as [`Outs`]. Nothing is decided here but when a new slot may be used, in
 //! `share.rs`.
 
-mod carry;
-mod figures;
-mod keeper;
-mod keys;
+mod inputs;
 #[cfg(test)]
 mod leave_tests;
-mod lines;
-mod orders;
-mod post;
-mod release_figures;
+mod log;
+mod messages;
+mod metrics;
+mod outputs;
+mod part;
+#[cfg(test)]
+mod part_tests;
+mod process;
 mod release_guard;
+mod release_metrics;
 mod releases;
-mod seat;
-mod settle;
-mod share;
-#[cfg(test)]
-mod share_tests;
-mod wants;
+mod requests;
+mod role;
+mod store_writer;
+mod tasks;
 
 use crate::settings::manager::ManagerSettings;
-pub(super) use carry::Counsel;
-use figures::Tally;
-use keeper::Keeper;
-use keys::Head;
+use messages::{CouncilMessage, Out, NEED, REVISIONS};
+use metrics::CouncilMetrics;
 use ottersail::time::Ms;
 use ottersail_consensus as council;
 use ottersail_consensus::CouncilConfig;
 use ottersail_leases::{Counters, Demand, Holder, LeaseConfig, LeaseGrants, SlotBalancer};
 use ottersail_membership::{InstanceId, MemberId, MemberView, State, Topic};
-use post::{Out, Post, NEED, REVISIONS};
+use outputs::{Input, PendingWork};
+use part::PartInUse;
 use releases::Releases;
-use seat::Seat;
-use share::Share;
+use requests::FoundingConfig;
+use role::Seat;
 use std::cell::Cell;
 use std::collections::BTreeMap;
-use wants::{Input, Wants};
+use store_writer::StoreWriter;
+pub(super) use tasks::CouncilTasks;
 
-/// How often needs and the roster are looked at, as a part of the lease.
-const LOOKS: f64 = 0.05;
+/// Interval at which demand and the roster are reviewed, as a fraction of the lease.
+const LOOK_INTERVAL: f64 = 0.05;
 
-/// What is to be done outside, in this order.
+/// What the caller has to carry out, in this order.
 #[derive(Debug, Default)]
-pub(super) struct Outs {
-    pub tells: Vec<Out>,
-    pub keeps: Vec<keeper::Wish>,
+pub(super) struct Outputs {
+    pub messages: Vec<Out>,
+    pub writes: Vec<store_writer::WriteRequest>,
     pub part: Option<ottersail_front::SlotShare>,
-    /// The module is told less: once it is, [`Council::shrunk`].
+    /// The placement is given a smaller part; [`Council::shrunk`] has to be called once it has it.
     pub shrunk: bool,
     pub riders: Vec<(Topic, Vec<u8>)>,
 }
@@ -57,32 +57,32 @@
 pub(super) struct Council {
     me: (MemberId, InstanceId),
     names: BTreeMap<MemberId, String>,
-    own: Head,
+    own: FoundingConfig,
     seed: u64,
     terms: CouncilConfig,
     seat: Seat,
-    /// Name and zone.
+    /// This member's name and zone.
     home: (String, String),
     releases: Option<Releases>,
-    /// Once the founding's figures are known.
-    held: Option<Held>,
-    share: Share,
-    /// With when it was asked.
-    asked: BTreeMap<u64, (keys::Ask, Ms)>,
+    /// Set once the founding configuration is known.
+    leases: Option<LeaseState>,
+    part: PartInUse,
+    /// Own requests under way, with the time of the request.
+    asked: BTreeMap<u64, (requests::Request, Ms)>,
     number: u64,
     look_at: Ms,
     arrivals: Cell<u32>,
-    /// The living, by what the members believe.
+    /// The members believed alive.
     alive: BTreeMap<MemberId, InstanceId>,
-    figures: Counters,
-    tally: Tally,
+    lease_counters: Counters,
+    council_metrics: CouncilMetrics,
 }
 
-/// What rests on the founding's figures.
-struct Held {
+/// The state that depends on the founding configuration.
+struct LeaseState {
     holder: Holder,
     needs: SlotBalancer,
-    /// A councillor's.
+    /// Used by councillors only.
     renewals: LeaseGrants,
     terms: LeaseConfig,
 }
@@ -94,20 +94,20 @@
         seed: u64,
         life: InstanceId,
         manager: &ManagerSettings,
-    ) -> Option<(Council, Option<Keeper>)> {
+    ) -> Option<(Council, Option<StoreWriter>)> {
         let (members, told) = (manager.members.as_ref()?, manager.council.as_ref()?);
         let id = |name: &String| MemberId::of(&members.cluster, name);
         let me = (id(&members.name), life);
         let councillors: Vec<MemberId> = told.councillors.iter().map(id).collect();
         let mut terms = CouncilConfig::new(me.0, life, &councillors, seed);
-        // A holder waits half a lease for an answer, and then asks anew.
+        // A holder waits half a lease for an answer and then asks again.
         terms.request_timeout = terms.request_timeout.min(Ms(f64::from(told.lease_ms) * 0.5));
-        let opened = told.store.as_ref().and_then(|path| keeper::open(path));
-        let (seat, keeper) = Seat::born(now, &terms, opened);
-        let own = Head { slots: told.slots, lease_ms: told.lease_ms, drift_ppm: told.drift_ppm };
+        let opened = told.store.as_ref().and_then(|path| store_writer::open(path));
+        let (seat, store_writer) = Seat::born(now, &terms, opened);
+        let own = FoundingConfig { slots: told.slots, lease_ms: told.lease_ms, drift_ppm: told.drift_ppm };
         let cold = manager.terms.cold.send_window();
         let number = (manager.terms.manager.0, manager.terms.manager_count);
-        lines::begins(&told.councillors, &seat);
+        log::begins(&told.councillors, &seat);
         let born = |it: &crate::settings::releases::Releases| {
             Releases::born(now, me, it.version.clone(), (&terms.councillors, members.period))
         };
@@ -121,114 +121,114 @@
             seat,
             home: (members.name.clone(), manager.terms.zone.to_string()),
             releases,
-            held: None,
-            share: Share::new(number, told.slots, cold),
+            leases: None,
+            part: PartInUse::new(number, told.slots, cold),
             asked: BTreeMap::new(),
             number: 0,
             look_at: now,
             arrivals: Cell::new(0),
             alive: BTreeMap::new(),
-            figures: Counters::default(),
-            tally: Tally::default(),
+            lease_counters: Counters::default(),
+            council_metrics: CouncilMetrics::default(),
         };
-        Some((council, keeper))
+        Some((council, store_writer))
     }
 
-    /// A viewing was asked for.
+    /// Counts a requested viewing.
     pub fn viewing_requested(&self) {
         self.arrivals.set(self.arrivals.get().saturating_add(1));
     }
 
     pub fn bell_at(&self) -> Ms {
-        let holder = self.held.as_ref().map_or(Ms(f64::INFINITY), |it| it.holder.next_deadline());
+        let holder = self.leases.as_ref().map_or(Ms(f64::INFINITY), |it| it.holder.next_deadline());
         let releases = self.releases.as_ref().map_or(Ms(f64::INFINITY), Releases::bell_at);
-        self.look_at.min(self.seat.next_timer()).min(holder).min(self.share.bell_at()).min(releases)
+        self.look_at.min(self.seat.next_timer()).min(holder).min(self.part.bell_at()).min(releases)
     }
 
-    /// What the members believe, and what they carry.
+    /// Handles the roster and the data that members piggyback.
     pub fn roster<'a>(
         &mut self,
         now: Ms,
         all: impl Iterator<Item = (&'a MemberId, &'a MemberView)>,
-        out: &mut Outs,
+        out: &mut Outputs,
     ) {
         if now < self.look_at {
             return;
         }
-        self.look_at = now + Ms(f64::from(self.own.lease_ms)) * LOOKS;
+        self.look_at = now + Ms(f64::from(self.own.lease_ms)) * LOOK_INTERVAL;
         let up = |it: &(&MemberId, &MemberView)| matches!(it.1.state, State::Alive | State::Suspect);
         let living: Vec<_> = all.filter(up).collect();
         self.alive = living.iter().map(|(id, known)| (**id, known.instance)).collect();
         let set = self.alive.keys().copied().chain([self.me.0]).collect();
         self.seat.set_living(&set);
-        let mut wants = Wants::default();
+        let mut work = PendingWork::default();
         for (id, known) in &living {
             if let Some(rider) = known.piggybacks.get(&REVISIONS) {
-                self.seat.on_digest(now, **id, rider, &mut wants);
+                self.seat.on_digest(now, **id, rider, &mut work);
             }
         }
-        if let Some(held) = &mut self.held {
+        if let Some(held) = &mut self.leases {
             let rider = |known: &MemberView| Demand::decode(known.piggybacks.get(&NEED)?).ok();
             held.needs.set_others(living.iter().map(|(id, known)| (**id, rider(known))).collect());
             held.needs.record_arrivals(now, self.arrivals.take());
             held.holder.set_alive(self.alive.clone());
             let wanted = held.needs.next_target(now, held.holder.retained_slots());
-            held.holder.set_target(now, wanted, &mut wants);
+            held.holder.set_target(now, wanted, &mut work);
             if let Ok(bytes) = held.needs.demand(now, held.holder.retained_slots()).encode() {
                 out.riders.push((NEED, bytes));
             }
         } else if self.asked.is_empty() {
-            self.ask(now, keys::Ask::Head, council::Change::Read, &mut wants);
+            self.ask(now, requests::Request::FoundingConfig, council::Change::Read, &mut work);
         }
-        self.release(now, living.iter().copied(), &mut wants);
+        self.release(now, living.iter().copied(), &mut work);
         out.riders.push((REVISIONS, self.seat.follower().revision_digest()));
-        self.settle(now, wants, out);
+        self.process(now, work, out);
     }
 
-    pub fn bell(&mut self, now: Ms, out: &mut Outs) {
-        self.settle(now, Wants::of(Input::Bell), out);
+    pub fn bell(&mut self, now: Ms, out: &mut Outputs) {
+        self.process(now, PendingWork::of(Input::Bell), out);
     }
 
-    /// Bytes of another member's council or parts.
-    pub fn heard(&mut self, now: Ms, from: MemberId, topic: Topic, bytes: &[u8], out: &mut Outs) {
-        match Post::read(topic, bytes) {
-            Some(post) => self.settle(now, Wants::of(Input::Heard(from, post)), out),
-            None => self.tally.unread(),
+    /// Handles a message of another member.
+    pub fn heard(&mut self, now: Ms, from: MemberId, topic: Topic, bytes: &[u8], out: &mut Outputs) {
+        match CouncilMessage::read(topic, bytes) {
+            Some(post) => self.process(now, PendingWork::of(Input::Heard(from, post)), out),
+            None => self.council_metrics.unread(),
         }
     }
 
-    /// The disk has it.
-    pub fn kept(&mut self, now: Ms, done: keeper::Done, out: &mut Outs) {
-        self.tally.kept(done.took);
-        self.settle(now, Wants::of(Input::Kept(done.token)), out);
+    /// Records have been written to disk.
+    pub fn kept(&mut self, now: Ms, done: store_writer::Written, out: &mut Outputs) {
+        self.council_metrics.kept(done.took);
+        self.process(now, PendingWork::of(Input::Kept(done.token)), out);
     }
 
-    /// The store failed: this councillor is silent from here on, and follows like any other member.
+    /// The store failed: this councillor abstains from here on and only follows.
     pub fn lost_store(&mut self, now: Ms) {
         self.seat.abstain(now, &self.terms);
     }
 
-    /// The module goes by the smaller part now.
-    pub fn shrunk(&mut self, now: Ms, out: &mut Outs) {
-        let mut wants = Wants::default();
-        if let Some(held) = &mut self.held {
-            held.holder.finish_shrink(now, &mut wants);
+    /// The placement uses the smaller part now.
+    pub fn shrunk(&mut self, now: Ms, out: &mut Outputs) {
+        let mut work = PendingWork::default();
+        if let Some(held) = &mut self.leases {
+            held.holder.finish_shrink(now, &mut work);
         }
-        self.settle(now, wants, out);
+        self.process(now, work, out);
     }
 
-    /// This manager ends: the module goes by the kept slot alone, and the rest is given back by
-    /// [`Council::shrunk`], as with any smaller part.
-    pub fn leave(&mut self, now: Ms, out: &mut Outs) {
-        let mut wants = Wants::default();
-        if let Some(held) = &mut self.held {
-            held.holder.leave(now, &mut wants);
+    /// This manager ends: the placement is limited to the kept slot, and [`Council::shrunk`] returns the rest, as with
+    /// any smaller part.
+    pub fn leave(&mut self, now: Ms, out: &mut Outputs) {
+        let mut work = PendingWork::default();
+        if let Some(held) = &mut self.leases {
+            held.holder.leave(now, &mut work);
         }
-        self.settle(now, wants, out);
+        self.process(now, work, out);
     }
 
-    /// No register has a slot in this member's name, as far as is known here.
+    /// Whether no register assigns a slot to this member, as far as is known here.
     pub fn gave_all_back(&self) -> bool {
-        self.held.as_ref().is_none_or(|it| it.holder.has_released_all())
+        self.leases.as_ref().is_none_or(|it| it.holder.has_released_all())
     }
 }
--- a/daemon/src/fleet/council/lines.rs
+++ b/daemon/src/fleet/council/log.rs
@@ -1,7 +1,7 @@
-//! Lines of the log, targets `council` and `parts`.
+//! Log messages under the targets `council`, `parts` and `releases`.
 
-use super::keys::Head;
-use super::seat::Seat;
+use super::requests::FoundingConfig;
+use super::role::Seat;
 use ottersail_consensus::{Key, Value};
 use ottersail_leases::LeaseError;
 use ottersail_rollout::{Event, Order, OrderNotPut, Refusal, State};
@@ -42,8 +42,8 @@
     );
 }
 
-pub(super) fn founded(head: Head, own: Head) {
-    let Head { slots, lease_ms, drift_ppm } = head;
+pub(super) fn founded(head: FoundingConfig, own: FoundingConfig) {
+    let FoundingConfig { slots, lease_ms, drift_ppm } = head;
     info!(target: "council", slots, lease_ms, drift_ppm, "founded");
     if head != own {
         warn!(
--- a/daemon/src/fleet/council/figures.rs
+++ b/daemon/src/fleet/council/metrics.rs
@@ -1,7 +1,7 @@
-//! The council's and the parts' lines on the page of figures.
+//! The metrics of the council and of the leased part.
 
-use super::keys::Ask;
-use super::{lines, Council};
+use super::requests::Request;
+use super::{log, Council};
 use ottersail::time::Ms;
 use ottersail_consensus::Outcome;
 use prometheus_client::metrics::counter::Counter;
@@ -14,41 +14,41 @@
 
 type Of = Vec<(&'static str, String)>;
 
-/// Seconds from a wish to keep until it is on the disk.
+/// Histogram bounds: seconds from a write request until the records are on disk.
 const BOUNDS: [f64; 10] = [0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.5, 2.0];
 
-/// Seconds from an own request until the council's answer; aimed at are one with all well, three with a
-/// minority dead.
+/// Histogram bounds: seconds from an own request until the council's answer. The targets are 1 s without failures and
+/// 3 s with a minority of councillors dead.
 const ANSWERS: [f64; 11] = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 3.0, 6.0];
 
 #[derive(Debug)]
-pub(super) struct Tally {
-    keeps: Histogram,
+pub(super) struct CouncilMetrics {
+    writes: Histogram,
     answers: Family<Of, Histogram, fn() -> Histogram>,
     granted: u64,
     refused: u64,
     unread: u64,
 }
 
-impl Default for Tally {
-    fn default() -> Tally {
+impl Default for CouncilMetrics {
+    fn default() -> CouncilMetrics {
         let answers = Family::<_, _, fn() -> _>::new_with_constructor(|| Histogram::new(ANSWERS));
-        Tally { keeps: Histogram::new(BOUNDS), answers, granted: 0, refused: 0, unread: 0 }
+        CouncilMetrics { writes: Histogram::new(BOUNDS), answers, granted: 0, refused: 0, unread: 0 }
     }
 }
 
-impl Tally {
+impl CouncilMetrics {
     pub fn kept(&self, took: Duration) {
-        self.keeps.observe(took.as_secs_f64());
+        self.writes.observe(took.as_secs_f64());
     }
 
-    /// An own request is over. Those without an answer count with the time that was waited for it.
-    pub fn answered(&self, ask: Ask, outcome: &Outcome, took: Ms) {
+    /// Records a completed request. An unanswered one counts with the time that was waited for it.
+    pub fn answered(&self, ask: Request, outcome: &Outcome, took: Ms) {
         let ask = match ask {
-            Ask::Head => "head",
-            Ask::Read(_) => "read",
-            Ask::Propose(_) => "change",
-            Ask::Order(_) => "order",
+            Request::FoundingConfig => "head",
+            Request::Read(_) => "read",
+            Request::Propose(_) => "change",
+            Request::Order(_) => "order",
         };
         let outcome = match outcome {
             Outcome::Chosen(_) => "done",
@@ -84,12 +84,12 @@
 }
 
 impl Council {
-    /// `ahead` is what the front's clock is before the members'.
+    /// `ahead`: by how many milliseconds the front's clock is ahead of the members' clock.
     pub fn register(&self, now: Ms, ahead: f64, registry: &mut Registry) {
         let follower = self.seat.follower();
         let revisions: Family<Of, Gauge> = Family::default();
         for (key, value) in follower.values() {
-            let of = vec![("key", lines::key(*key))];
+            let of = vec![("key", log::key(*key))];
             revisions.get_or_create(&of).set(value.revision as i64);
         }
         registry.register("council_revision", "Revision followed, by register", revisions);
@@ -108,39 +108,44 @@
         registry.register(
             "council_keep_seconds",
             "Time until a promise was on the disk",
-            self.tally.keeps.clone(),
+            self.council_metrics.writes.clone(),
         );
         registry.register(
             "council_answer_seconds",
             "Time until the council's answer to this member; now: another's change stood before",
-            self.tally.answers.clone(),
+            self.council_metrics.answers.clone(),
         );
-        count(registry, "council_unread", "Messages that could not be read", self.tally.unread);
+        count(registry, "council_unread", "Messages that could not be read", self.council_metrics.unread);
         count(
             registry,
             "renewals_granted",
             "Slots renewed for others by this councillor",
-            self.tally.granted,
+            self.council_metrics.granted,
+        );
+        count(
+            registry,
+            "renewals_refused",
+            "Slots not renewed by this councillor",
+            self.council_metrics.refused,
         );
-        count(registry, "renewals_refused", "Slots not renewed by this councillor", self.tally.refused);
         if let Some(it) = &self.releases {
             it.register(now, registry);
         }
-        let part = self.held.as_ref().and_then(|it| it.holder.current_share(now));
+        let part = self.leases.as_ref().and_then(|it| it.holder.current_share(now));
         let slots: Family<Of, Gauge> = Family::default();
         for slot in self.slots(now) {
             slots.get_or_create(&vec![("slot", slot.to_string())]).set(1);
         }
         registry.register("part_slot", "Slots held now", slots);
         gauge(registry, "part_slots", "Slots held now, leased", part.map_or(0, |it| it.slots.into()));
-        gauge(registry, "part_slots_used", "Those the module may use by now", self.share.told() as u64);
+        gauge(registry, "part_slots_used", "Those the module may use by now", self.part.told() as u64);
         gauge(registry, "part_of", "Slots in all, without the kept ones", self.own.slots.into());
         let until: Gauge<f64, AtomicU64> = Gauge::default();
         until.set(part.map_or(0.0, |it| (it.until.0 .0 + ahead) / 1e3));
         registry.register("part_until", "Until when they are held, in seconds since 1970", until);
-        let it = &self.figures;
+        let it = &self.lease_counters;
         let counts = [
-            ("part_leases_ran_out", "Times that the lease on all slots ran out", self.share.ran_out()),
+            ("part_leases_ran_out", "Times that the lease on all slots ran out", self.part.ran_out()),
             ("part_renewals", "Pages of renewals sent", it.asked),
             ("part_acquired", "Slots taken up", it.acquired),
             ("part_released", "Slots given back", it.released),
@@ -153,12 +158,9 @@
         counts.into_iter().for_each(|(name, help, value)| count(registry, name, help, value));
     }
 
-    /// As the holder sees it at this moment: after a standstill past the lease none, before any bell.
+    /// The slots that the holder has at this moment; none once the lease has expired, even before a timer has run.
     fn slots(&self, now: Ms) -> impl Iterator<Item = u16> + '_ {
-        let holder = self.held.as_ref().map(|it| &it.holder);
-        self.share
-            .held()
-            .filter(move |it| holder.is_some_and(|held| held.holds_slot(now, *it)))
-            .map(|it| it.0)
+        let holder = self.leases.as_ref().map(|it| &it.holder);
+        self.part.held().filter(move |it| holder.is_some_and(|held| held.holds_slot(now, *it))).map(|it| it.0)
     }
 }
--- a/daemon/src/fleet/council/wants.rs
+++ b/daemon/src/fleet/council/outputs.rs
@@ -1,18 +1,18 @@
-//! What the machines wish, gathered while one of them is at work.
+//! Collects the outputs of the state machines while one of them runs.
 
-use super::keeper::Wish;
-use super::post::Post;
-use super::releases::{BOOK, ORDER};
+use super::messages::CouncilMessage;
+use super::releases::{ORDER, PERMITS};
+use super::store_writer::WriteRequest;
 use ottersail_consensus::{Key, Message, Outcome, Record, Token, Value};
 use ottersail_leases::{BucketId, LeaseEvent, Release, Renew, SlotShare};
 use ottersail_membership::MemberId;
 use ottersail_rollout::{Event, MemberStatus, Order, PermitTable};
 
-/// What a machine is told next.
+/// An input for one of the state machines.
 #[derive(Clone, Debug)]
 pub(super) enum Input {
     Bell,
-    Heard(MemberId, Post),
+    Heard(MemberId, CouncilMessage),
     Kept(Token),
     Chosen(Key, Value),
     Answered(u64, Outcome),
@@ -22,9 +22,9 @@
 }
 
 #[derive(Debug, Default)]
-pub(super) struct Wants {
-    pub posts: Vec<(MemberId, Post)>,
-    pub keeps: Vec<Wish>,
+pub(super) struct PendingWork {
+    pub posts: Vec<(MemberId, CouncilMessage)>,
+    pub writes: Vec<WriteRequest>,
     pub inputs: Vec<Input>,
     pub notes: Vec<LeaseEvent>,
     /// To every councillor.
@@ -33,19 +33,19 @@
     pub shrunk: bool,
 }
 
-impl Wants {
-    pub fn of(input: Input) -> Wants {
-        Wants { inputs: vec![input], ..Wants::default() }
+impl PendingWork {
+    pub fn of(input: Input) -> PendingWork {
+        PendingWork { inputs: vec![input], ..PendingWork::default() }
     }
 }
 
-impl ottersail_consensus::Effects for Wants {
+impl ottersail_consensus::Effects for PendingWork {
     fn send(&mut self, to: MemberId, message: &Message) {
-        self.posts.push((to, Post::Council(message.clone())));
+        self.posts.push((to, CouncilMessage::Council(message.clone())));
     }
 
     fn persist(&mut self, token: Token, records: &[Record]) {
-        self.keeps.push(Wish::new(token, records));
+        self.writes.push(WriteRequest::new(token, records));
     }
 
     fn chosen(&mut self, key: Key, value: &Value) {
@@ -57,13 +57,13 @@
     }
 }
 
-impl ottersail_leases::Effects for Wants {
+impl ottersail_leases::Effects for PendingWork {
     fn renew(&mut self, to: MemberId, message: &Renew) {
-        self.posts.push((to, Post::Renew(message.clone())));
+        self.posts.push((to, CouncilMessage::Renew(message.clone())));
     }
 
     fn release(&mut self, to: MemberId, message: &Release) {
-        self.posts.push((to, Post::Release(message.clone())));
+        self.posts.push((to, CouncilMessage::Release(message.clone())));
     }
 
     fn read(&mut self, bucket: BucketId) {
@@ -74,7 +74,7 @@
         self.inputs.push(Input::Propose(bucket, if_revision, body));
     }
 
-    /// The part itself is read from the holder when the module is told.
+    /// The part itself is read from the holder when it is passed on.
     fn shrink(&mut self, _: Option<SlotShare>) {
         self.shrunk = true;
     }
@@ -84,9 +84,9 @@
     }
 }
 
-impl ottersail_rollout::Effects for Wants {
+impl ottersail_rollout::Effects for PendingWork {
     fn propose(&mut self, if_revision: u64, permits: &PermitTable) {
-        self.inputs.push(Input::Put(BOOK, if_revision, permits.encode()));
+        self.inputs.push(Input::Put(PERMITS, if_revision, permits.encode()));
     }
 
     fn halt(&mut self, if_revision: u64, order: &Order) {
--- a/daemon/src/fleet/council/share.rs
+++ b/daemon/src/fleet/council/part.rs
@@ -1,4 +1,4 @@
-//! The part as the module is told it: which slots, of how many, until when by the front's clock.
+//! The part of the capacity that the placement may use: which slots, of how many, and until when by the front's clock.
 //!
 //! Besides the D leased slots each manager has one of its own, number D + N of D + M, which no council gives
 //! or takes: with the council gone a manager acts on that alone, and all parts are the whole at most.
@@ -8,30 +8,30 @@
 use ottersail_leases::{Holder, Slot};
 use std::collections::BTreeMap;
 
-pub(super) struct Share {
-    /// N of M.
+pub(super) struct PartInUse {
+    /// This manager's number N and the number of managers M.
     number: (u64, f64),
     slots: u16,
-    /// How far back the rule on cold servers looks.
+    /// The time window of the rule on cold servers.
     window: Ms,
     /// Since when each slot has been held without a gap.
     since: BTreeMap<Slot, Ms>,
-    /// The lease's end, by the members' clock.
+    /// The end of the lease, by the members' clock.
     until: Ms,
     told: Option<SlotShare>,
-    /// When a slot has been held for long enough, or the lease ends.
+    /// When the next slot has been held for long enough, or the lease ends.
     bell: Ms,
-    /// The lease ran out since the last look at that.
+    /// How often the lease has expired.
     ran_out: u64,
 }
 
-impl Share {
-    pub fn new(number: (u64, f64), slots: u16, window: Ms) -> Share {
+impl PartInUse {
+    pub fn new(number: (u64, f64), slots: u16, window: Ms) -> PartInUse {
         let (since, never) = (BTreeMap::new(), Ms(f64::INFINITY));
-        Share { number, slots, window, since, until: never, told: None, bell: never, ran_out: 0 }
+        PartInUse { number, slots, window, since, until: never, told: None, bell: never, ran_out: 0 }
     }
 
-    /// Another count of slots than the settings told.
+    /// Uses another number of slots than the settings state.
     pub fn cut(&mut self, slots: u16) {
         self.slots = slots;
         self.told = None;
@@ -45,7 +45,7 @@
         self.told.as_ref().map_or(0, |it| it.leased_slots.len())
     }
 
-    /// Slots held now, whether the module may use them yet or not.
+    /// The slots held now, whether the placement may use them yet or not.
     pub fn held(&self) -> impl Iterator<Item = Slot> + '_ {
         self.since.keys().copied()
     }
@@ -58,7 +58,7 @@
     /// `until` is by the members' clock yet.
     pub fn look(&mut self, now: Ms, holder: Option<&Holder>, anyway: bool) -> Option<SlotShare> {
         let part = holder.and_then(|it| it.current_share(now));
-        // One slot's lease may end before the others': only an end of all of them is worth a line.
+        // One slot's lease may end before the others'; only the end of all leases is logged.
         if part.is_none() && !self.since.is_empty() && now >= self.until {
             self.ran_out += 1;
             let late = (now - self.until).0.round();
--- a/daemon/src/fleet/council/share_tests.rs
+++ b/daemon/src/fleet/council/part_tests.rs
@@ -1,7 +1,7 @@
 //! What the module is told, over a holder whose one councillor grants all.
 
-use super::share::Share;
-use super::wants::Wants;
+use super::outputs::PendingWork;
+use super::part::PartInUse;
 use ottersail::time::Ms;
 use ottersail_leases::{Bucket, BucketId, Guards, Holder, InstanceId, LeaseConfig, MemberId, Renewed};
 
@@ -19,30 +19,30 @@
 
 /// Holds so many slots from then on, asked for at that moment.
 pub(super) fn holds(holder: &mut Holder, now: Ms, revision: u64, slots: usize) {
-    holder.set_target(now, slots as u16, &mut Wants::default());
+    holder.set_target(now, slots as u16, &mut PendingWork::default());
     let body = Bucket::empty(24).acquire(slots, ME).encode().unwrap();
-    holder.register_changed(BucketId(0), revision, &body, &mut Wants::default()).unwrap();
+    holder.register_changed(BucketId(0), revision, &body, &mut PendingWork::default()).unwrap();
     renewed(holder, now);
 }
 
 fn renewed(holder: &mut Holder, now: Ms) {
-    let mut wants = Wants::default();
+    let mut wants = PendingWork::default();
     holder.handle_deadline(now, &mut wants);
     for (to, post) in wants.posts {
-        if let super::post::Post::Renew(it) = post {
+        if let super::messages::CouncilMessage::Renew(it) = post {
             let answer = Renewed { instance: it.instance, number: it.number, refused: vec![] };
-            holder.renewed(now, to, &answer, &mut Wants::default());
+            holder.renewed(now, to, &answer, &mut PendingWork::default());
         }
     }
 }
 
-pub(super) fn share() -> Share {
-    Share::new((3, 5.0), 32, WINDOW)
+pub(super) fn part_in_use() -> PartInUse {
+    PartInUse::new((3, 5.0), 32, WINDOW)
 }
 
 #[test]
 fn without_a_lease_the_kept_slot_alone_is_told_and_once() {
-    let (mut share, holder) = (share(), holder());
+    let (mut share, holder) = (part_in_use(), holder());
     let part = share.look(Ms(0.0), Some(&holder), false).unwrap();
     assert_eq!(
         (part.own_slot, part.leased_slots.len(), part.total_slots, part.lease_end_ms),
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_new_slot_is_used_only_after_the_window_of_the_rule_on_cold_servers() {
-    let (mut share, mut holder) = (share(), holder());
+    let (mut share, mut holder) = (part_in_use(), holder());
     holds(&mut holder, Ms(10.0), 1, 2);
     let part = share.look(Ms(10.0), Some(&holder), false).unwrap();
     assert_eq!((part.leased_slots.len(), part.lease_end_ms), (0, 1_010.0));
@@ -66,7 +66,7 @@
 
 #[test]
 fn past_the_lease_nothing_is_held_and_what_comes_back_waits_again() {
-    let (mut share, mut holder) = (share(), holder());
+    let (mut share, mut holder) = (part_in_use(), holder());
     holds(&mut holder, Ms(0.0), 1, 2);
     share.look(Ms(0.0), Some(&holder), false);
     assert_eq!(share.look(Ms(400.0), Some(&holder), false).unwrap().leased_slots.len(), 2);
--- a/daemon/src/fleet/council/release_guard.rs
+++ b/daemon/src/fleet/council/release_guard.rs
@@ -1,21 +1,21 @@
 //! The guard on the registers of releases: what this councillor's acceptor lets into them.
 
-use super::lines;
-use super::releases::{Releases, BOOK, ORDER};
+use super::log;
+use super::releases::{Releases, ORDER, PERMITS};
 use ottersail::time::Ms;
 use ottersail_consensus::{Key, StoredState, Value};
 use ottersail_rollout::{may_replace, Guards, Order, PermitTable};
 
-/// Whether this councillor lets that value into a register of releases. Without `[releases]` it can judge none,
-/// and lets none in.
+/// Whether this councillor accepts that value for a register of releases. Without `[releases]` it cannot check any
+/// value and accepts none.
 pub(super) fn allows(now: Ms, releases: Option<&Releases>, key: Key, held: &StoredState, to: &Value) -> bool {
     let Some(coordinator) = releases.and_then(|it| it.coordinator.as_ref()) else { return false };
     let ordered = held.accepted(ORDER).and_then(|it| Some((it.revision, Order::decode(&it.body)?)));
     let verdict = match key {
         ORDER => Order::decode(&to.body)
             .map(|to| may_replace(ordered.as_ref().map(|it| &it.1), &to, Guards::all())),
-        BOOK => {
-            let from = held.accepted(BOOK).and_then(|it| PermitTable::decode(&it.body));
+        PERMITS => {
+            let from = held.accepted(PERMITS).and_then(|it| PermitTable::decode(&it.body));
             let order = ordered.as_ref().map(|it| (it.0, &it.1));
             PermitTable::decode(&to.body).map(|to| coordinator.allows(now, order, from.as_ref(), &to))
         }
@@ -24,7 +24,7 @@
     match verdict {
         Some(Ok(())) => true,
         Some(Err(refusal)) => {
-            lines::kept_out(key, &refusal);
+            log::kept_out(key, &refusal);
             false
         }
         None => false,
--- a/daemon/src/fleet/council/release_figures.rs
+++ b/daemon/src/fleet/council/release_metrics.rs
@@ -1,6 +1,6 @@
-//! A release's lines on the page of figures, as this councillor sees it.
+//! The metrics of a release as this councillor sees it.
 
-use super::figures::gauge;
+use super::metrics::gauge;
 use super::releases::Releases;
 use ottersail::time::Ms;
 use ottersail_rollout::{ReleaseView, State, WaitReason};
@@ -11,7 +11,7 @@
 type Of = Vec<(&'static str, String)>;
 
 impl Releases {
-    /// Nothing without an order, nor at who is no councillor.
+    /// Registers nothing without an order or at a member that is no councillor.
     pub fn register(&self, now: Ms, registry: &mut Registry) {
         let Some(view) = self.coordinator.as_ref().and_then(|it| it.view(now)) else { return };
         let ReleaseView {
--- a/daemon/src/fleet/council/releases.rs
+++ b/daemon/src/fleet/council/releases.rs
@@ -1,10 +1,10 @@
-//! Releases over the council: the machines of `ottersail-rollout` with their registers and messages. Nothing is
-//! decided here.
+//! Releases over the council: connects the state machines of `ottersail-rollout` with their registers and messages.
+//! Nothing is decided here.
 
-use super::keys::{set, Ask};
-use super::post::Post;
-use super::wants::Wants;
-use super::{lines, Council};
+use super::messages::CouncilMessage;
+use super::outputs::PendingWork;
+use super::requests::{set, Request};
+use super::{log, Council};
 use ottersail::time::Ms;
 use ottersail_consensus::{Key, MemberId, Message, Outcome, Value};
 use ottersail_membership::{InstanceId, MemberView, State};
@@ -15,17 +15,17 @@
 };
 use std::collections::BTreeMap;
 
-/// The registers of the order about managers, and of its permits.
+/// The registers of the order about managers and of its permits.
 pub(super) const ORDER: Key = Key::Order(0);
-pub(super) const BOOK: Key = Key::Order(2);
+pub(super) const PERMITS: Key = Key::Order(2);
 
 pub(super) struct Releases {
     pub holder: PermitHolder,
     /// A councillor's.
     pub coordinator: Option<Coordinator>,
-    /// The order of this manager's own file, until it stands or cannot, and the revision it was put over.
+    /// The order of this manager's own file until it is in force or rejected, and the revision that it replaces.
     pub file: Option<(u64, Order)>,
-    /// What stands, as far as it is known here.
+    /// The order in force, as far as it is known here.
     order: Option<(u64, Order)>,
 }
 
@@ -46,14 +46,14 @@
         self.holder.next_timer().min(coordinator)
     }
 
-    pub fn bell(&mut self, now: Ms, wants: &mut Wants) {
-        self.holder.on_timer(now, wants);
+    pub fn bell(&mut self, now: Ms, work: &mut PendingWork) {
+        self.holder.on_timer(now, work);
         if let Some(it) = &mut self.coordinator {
-            it.on_timer(now, wants);
+            it.on_timer(now, work);
         }
     }
 
-    /// All that live, this one too, as the members believe.
+    /// Updates the roster: all members believed alive, including this one.
     fn roster<'a>(
         &mut self,
         now: Ms,
@@ -83,31 +83,31 @@
 }
 
 impl Council {
-    /// A register of releases has a newer value.
-    pub(super) fn ordered(&mut self, now: Ms, key: Key, value: &Value, wants: &mut Wants) {
+    /// Handles a newer value of a register of releases.
+    pub(super) fn ordered(&mut self, now: Ms, key: Key, value: &Value, work: &mut PendingWork) {
         let Some(it) = &mut self.releases else { return };
         match key {
             ORDER => {
-                let Some(order) = Order::decode(&value.body) else { return lines::unread(key) };
+                let Some(order) = Order::decode(&value.body) else { return log::unread(key) };
                 if it.order.as_ref().is_some_and(|it| it.0 >= value.revision) {
                     return;
                 }
-                lines::ordered(value.revision, &order);
+                log::ordered(value.revision, &order);
                 it.holder.on_order(now, value.revision, &order);
                 if let Some(coordinator) = &mut it.coordinator {
                     coordinator.on_order(now, value.revision, &order);
                 }
                 it.order = Some((value.revision, order));
             }
-            BOOK => {
-                let Some(book) = PermitTable::decode(&value.body) else { return lines::unread(key) };
+            PERMITS => {
+                let Some(book) = PermitTable::decode(&value.body) else { return log::unread(key) };
                 it.holder.on_permits(now, value.revision, &book);
                 let Some(coordinator) = &mut it.coordinator else { return };
                 coordinator.on_permits(now, value.revision, &book);
-                // Permits run out: whoever has one is told at once, and not by gossip.
+                // Permits expire, so each holder is told directly and does not wait for gossip.
                 for permit in book.permits.iter().filter(|it| it.member != self.me.0) {
                     let learned = Message::Learned { key, value: value.clone() };
-                    wants.posts.push((permit.member, Post::Council(learned)));
+                    work.posts.push((permit.member, CouncilMessage::Council(learned)));
                 }
             }
             _ => {}
@@ -120,13 +120,13 @@
         }
     }
 
-    /// What came of a change of a register of releases.
-    pub(super) fn put(&mut self, now: Ms, key: Key, outcome: &Outcome, wants: &mut Wants) {
+    /// Handles the outcome of a change of a register of releases.
+    pub(super) fn put(&mut self, now: Ms, key: Key, outcome: &Outcome, work: &mut PendingWork) {
         let stands = match outcome {
             Outcome::Chosen(it) | Outcome::Current(Some(it)) => Some(it),
             _ => None,
         };
-        if let (BOOK, Some(coordinator)) =
+        if let (PERMITS, Some(coordinator)) =
             (key, self.releases.as_mut().and_then(|it| it.coordinator.as_mut()))
         {
             let read = stands.and_then(|it| Some((it.revision, PermitTable::decode(&it.body)?)));
@@ -142,35 +142,35 @@
             );
         }
         if let Some(value) = stands {
-            self.ordered(now, key, value, wants);
+            self.ordered(now, key, value, work);
         }
         if key == ORDER {
             self.file_answered(outcome);
         }
     }
 
-    /// What became of the order of this manager's own file: told once.
+    /// Logs once what became of the order of this manager's own file.
     fn file_answered(&mut self, outcome: &Outcome) {
         let Some(it) = &mut self.releases else { return };
         let Some((asked, file)) = &it.file else { return };
         if !matches!(outcome, Outcome::Chosen(_) | Outcome::Current(_)) {
-            // No majority, or kept out: it is put again at the next look.
+            // Without a majority, or refused by guards: it is put again at the next review.
             return;
         }
         match evaluate_answer(*asked, it.order.as_ref().map(|it| (it.0, &it.1)), file) {
-            ProposalResult::InForce => lines::file_stands(file),
+            ProposalResult::InForce => log::file_stands(file),
             ProposalResult::Retry { if_revision } => return it.file = Some((if_revision, file.clone())),
-            ProposalResult::Reject(why) => lines::file_held(&why),
+            ProposalResult::Reject(why) => log::file_held(&why),
         }
         it.file = None;
     }
 
-    /// At each look: this manager's state, the roster, and the own file if it waits.
+    /// Reviews releases: the roster, and the order of the own file if it waits.
     pub(super) fn release<'a>(
         &mut self,
         now: Ms,
         all: impl Iterator<Item = (&'a MemberId, &'a MemberView)>,
-        wants: &mut Wants,
+        work: &mut PendingWork,
     ) {
         let active = self.seat.follower().preferred() == Some(self.me.0)
             && self.seat.participating_councillor().is_some();
@@ -178,14 +178,14 @@
             self.seat.participating_councillor(),
             self.releases.as_mut().and_then(|it| it.coordinator.as_mut()),
         ) {
-            let held = seat.acceptor().stored().accepted(BOOK);
+            let held = seat.acceptor().stored().accepted(PERMITS);
             if let Some((revision, book)) =
                 held.and_then(|it| Some((it.revision, PermitTable::decode(&it.body)?)))
             {
                 it.on_accepted(now, revision, &book);
             }
         }
-        let asked = self.asked.values().any(|it| it.0 == Ask::Order(ORDER));
+        let asked = self.asked.values().any(|it| it.0 == Request::Order(ORDER));
         let (name, zone) = &self.home;
         let (Some(it), Some(name)) = (&mut self.releases, Name::new(name)) else { return };
         let me = RosterEntry { life: self.me.1, name, zone: Name::new(zone), presence: Presence::Alive };
@@ -194,19 +194,19 @@
         match evaluate_file(it.order.as_ref().map(|it| (it.0, &it.1)), &file) {
             FileDecision::Put { if_revision, lifts_halt } => {
                 if lifts_halt {
-                    lines::file_lifts(&file);
+                    log::file_lifts(&file);
                 }
                 let change = set(if_revision, file.encode());
                 it.file = Some((if_revision, file));
-                return self.ask(now, Ask::Order(ORDER), change, wants);
+                return self.ask(now, Request::Order(ORDER), change, work);
             }
-            FileDecision::Unchanged { halted } => lines::file_same(&file, halted),
-            FileDecision::Reject(why) => lines::file_held(&why),
+            FileDecision::Unchanged { halted } => log::file_same(&file, halted),
+            FileDecision::Reject(why) => log::file_held(&why),
         }
         it.file = None;
     }
 
-    /// Whether this manager takes viewings with all that it needs, and how they ended.
+    /// Updates whether this manager is ready, and how its viewings ended.
     pub fn stands(&mut self, now: Ms, whole: bool, counts: ViewingCounts) {
         if let Some(it) = &mut self.releases {
             it.holder.set_ready(now, whole);
@@ -214,17 +214,17 @@
         }
     }
 
-    /// A permit to use.
+    /// The permit that can be used now.
     pub fn wants_out(&self, now: Ms) -> Option<UsablePermit> {
         self.releases.as_ref()?.holder.usable_permit(now)
     }
 
-    /// Asked once nothing more is taken.
+    /// Confirms the permit once no viewings are taken any more.
     pub fn still_in_time(&mut self, now: Ms, going: &UsablePermit) -> bool {
         self.releases.as_mut().is_some_and(|it| it.holder.confirm_leaving(now, going))
     }
 
-    /// The order of this manager's own file.
+    /// Submits the order of this manager's own file.
     pub fn order(&mut self, file: Order) {
         if let Some(it) = &mut self.releases {
             it.file = Some((0, file));
--- a/daemon/src/fleet/council/keys.rs
+++ b/daemon/src/fleet/council/requests.rs
@@ -6,22 +6,22 @@
 
 const VERSION: u8 = 1;
 
-/// What the founding fixes; the first to be chosen stays.
+/// The configuration fixed at the founding; the first one that is chosen stays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Head {
+pub(super) struct FoundingConfig {
     pub slots: u16,
     pub lease_ms: u32,
     pub drift_ppm: u32,
 }
 
-impl Head {
+impl FoundingConfig {
     pub fn bytes(self) -> Vec<u8> {
         let rest = postcard::to_allocvec(&self).unwrap_or_default();
         std::iter::once(VERSION).chain(rest).collect()
     }
 
-    /// `None` if it is of a version that is not known here, or cut.
-    pub fn read(bytes: &[u8]) -> Option<Head> {
+    /// `None` if the bytes are of an unknown version or truncated.
+    pub fn read(bytes: &[u8]) -> Option<FoundingConfig> {
         let (&VERSION, rest) = bytes.split_first()? else { return None };
         postcard::take_from_bytes(rest).ok().map(|it| it.0)
     }
@@ -37,26 +37,26 @@
     }
 }
 
-/// What an own request is about.
+/// The subject of an own request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Ask {
-    Head,
+pub(super) enum Request {
+    FoundingConfig,
     Read(BucketId),
     Propose(BucketId),
     /// A register of releases.
     Order(Key),
 }
 
-impl Ask {
+impl Request {
     pub fn key(self) -> Key {
         match self {
-            Ask::Head => Key::Founding,
-            Ask::Read(no) | Ask::Propose(no) => Key::Slots(no.0),
-            Ask::Order(key) => key,
+            Request::FoundingConfig => Key::Founding,
+            Request::Read(no) | Request::Propose(no) => Key::Slots(no.0),
+            Request::Order(key) => key,
         }
     }
 
-    /// As a holder understands it.
+    /// The outcome as an answer for the lease holder.
     pub fn answer(self, outcome: Outcome) -> Answer {
         let parts = |it: Option<Value>| it.map_or((0, Vec::new()), |it| (it.revision, it.body));
         match outcome {
@@ -64,7 +64,7 @@
             Outcome::Current(value) => {
                 let (revision, body) = parts(value);
                 match self {
-                    Ask::Propose(_) => Answer::Conflict { revision, body },
+                    Request::Propose(_) => Answer::Conflict { revision, body },
                     _ => Answer::Chosen { revision, body },
                 }
             }
@@ -81,17 +81,17 @@
 mod tests {
     use super::*;
 
-    const HEAD: Head = Head { slots: 64, lease_ms: 10_000, drift_ppm: 1_000 };
+    const HEAD: FoundingConfig = FoundingConfig { slots: 64, lease_ms: 10_000, drift_ppm: 1_000 };
 
     #[test]
     fn a_head_is_read_again_and_another_version_is_not() {
         let mut bytes = HEAD.bytes();
-        assert_eq!(Head::read(&bytes), Some(HEAD));
+        assert_eq!(FoundingConfig::read(&bytes), Some(HEAD));
         bytes.push(9);
-        assert_eq!(Head::read(&bytes), Some(HEAD), "a later field is let be");
-        assert_eq!(Head::read(&bytes[..3]), None);
+        assert_eq!(FoundingConfig::read(&bytes), Some(HEAD), "a later field is let be");
+        assert_eq!(FoundingConfig::read(&bytes[..3]), None);
         bytes[0] = 2;
-        assert_eq!(Head::read(&bytes), None);
+        assert_eq!(FoundingConfig::read(&bytes), None);
     }
 
     #[test]
@@ -100,16 +100,16 @@
         let no = BucketId(1);
         let stands = || Outcome::Current(Some(value.clone()));
         let (revision, body) = (4, vec![1]);
-        let read = Ask::Read(no).answer(stands());
+        let read = Request::Read(no).answer(stands());
         assert_eq!(read, Answer::Chosen { revision, body: body.clone() });
-        assert_eq!(Ask::Propose(no).answer(stands()), Answer::Conflict { revision, body: body.clone() });
+        assert_eq!(Request::Propose(no).answer(stands()), Answer::Conflict { revision, body: body.clone() });
         assert_eq!(
-            Ask::Propose(no).answer(Outcome::Chosen(value.clone())),
+            Request::Propose(no).answer(Outcome::Chosen(value.clone())),
             Answer::Chosen { revision, body }
         );
         let nothing = Answer::Chosen { revision: 0, body: vec![] };
-        assert_eq!(Ask::Read(no).answer(Outcome::Current(None)), nothing);
-        assert_eq!(Ask::Propose(no).answer(Outcome::Unanswered), Answer::Refused);
+        assert_eq!(Request::Read(no).answer(Outcome::Current(None)), nothing);
+        assert_eq!(Request::Propose(no).answer(Outcome::Unanswered), Answer::Refused);
     }
 
     fn absent() -> Value {
--- a/daemon/src/fleet/council/seat.rs
+++ b/daemon/src/fleet/council/role.rs
@@ -1,7 +1,7 @@
-//! This member's seat: a councillor's, or a follower's.
+//! This member's role in the council: councillor or follower.
 
-use super::keeper::Keeper;
-use super::wants::Wants;
+use super::outputs::PendingWork;
+use super::store_writer::StoreWriter;
 use ottersail::time::Ms;
 use ottersail_consensus::{
     Change, CouncilConfig, Councillor, Follower, Guard, Key, MemberId, Message, StoredState, Token,
@@ -11,7 +11,7 @@
 
 pub(super) struct Seat {
     kind: Kind,
-    /// What was told of its soundness last.
+    /// The participation that was reported last.
     told: Option<bool>,
 }
 
@@ -25,14 +25,14 @@
         now: Ms,
         config: &CouncilConfig,
         opened: Option<(Store, StoredState)>,
-    ) -> (Seat, Option<Keeper>) {
+    ) -> (Seat, Option<StoreWriter>) {
         let follower = || Kind::Follower(Box::new(Follower::new(now, config.clone())));
-        let (kind, keeper) = match opened {
+        let (kind, store_writer) = match opened {
             None => (follower(), None),
-            Some((store, stored)) => match Keeper::start(store) {
-                Ok(keeper) => {
+            Some((store, stored)) => match StoreWriter::start(store) {
+                Ok(store_writer) => {
                     let councillor = Councillor::new(now, config.clone(), stored);
-                    (Kind::Councillor(Box::new(councillor)), Some(keeper))
+                    (Kind::Councillor(Box::new(councillor)), Some(store_writer))
                 }
                 Err(trouble) => {
                     tracing::error!(target: "council", %trouble, "this councillor abstains, viewings go on");
@@ -40,10 +40,10 @@
                 }
             },
         };
-        (Seat { kind, told: None }, keeper)
+        (Seat { kind, told: None }, store_writer)
     }
 
-    /// From here on a follower: nothing more is promised, accepted or renewed in this life.
+    /// Becomes a follower: nothing more is promised, accepted or renewed until the process restarts.
     pub fn abstain(&mut self, now: Ms, config: &CouncilConfig) {
         self.kind = Kind::Follower(Box::new(Follower::new(now, config.clone())));
         self.told = None;
@@ -56,7 +56,7 @@
         }
     }
 
-    /// A councillor's machine, if it takes part.
+    /// The councillor, if it participates.
     pub fn participating_councillor(&self) -> Option<&Councillor> {
         match &self.kind {
             Kind::Councillor(it) if it.participates() => Some(it),
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Whether a councillor takes part, where that is other than it was at the last look.
+    /// Whether the councillor participates, if that has changed since the last call.
     pub fn turned(&mut self) -> Option<bool> {
         let Kind::Councillor(it) = &self.kind else { return None };
         let is = it.participates();
@@ -82,21 +82,28 @@
         }
     }
 
-    pub fn on_timer(&mut self, now: Ms, guard: &dyn Guard, out: &mut Wants) {
+    pub fn on_timer(&mut self, now: Ms, guard: &dyn Guard, out: &mut PendingWork) {
         match &mut self.kind {
             Kind::Councillor(it) => it.on_timer(now, guard, out),
             Kind::Follower(it) => it.on_timer(now, out),
         }
     }
 
-    pub fn on_message(&mut self, now: Ms, from: MemberId, it: &Message, guard: &dyn Guard, out: &mut Wants) {
+    pub fn on_message(
+        &mut self,
+        now: Ms,
+        from: MemberId,
+        it: &Message,
+        guard: &dyn Guard,
+        out: &mut PendingWork,
+    ) {
         match &mut self.kind {
             Kind::Councillor(seat) => seat.on_message(now, from, it, guard, out),
             Kind::Follower(seat) => seat.on_message(now, from, it, out),
         }
     }
 
-    pub fn on_persisted(&mut self, now: Ms, token: Token, guard: &dyn Guard, out: &mut Wants) {
+    pub fn on_persisted(&mut self, now: Ms, token: Token, guard: &dyn Guard, out: &mut PendingWork) {
         if let Kind::Councillor(it) = &mut self.kind {
             it.on_persisted(now, token, guard, out);
         }
@@ -108,7 +115,7 @@
         number: u64,
         (key, change): (Key, Change),
         guard: &dyn Guard,
-        out: &mut Wants,
+        out: &mut PendingWork,
     ) {
         match &mut self.kind {
             Kind::Councillor(it) => it.submit(now, number, key, change, guard, out),
@@ -123,7 +130,7 @@
         }
     }
 
-    pub fn on_digest(&mut self, now: Ms, from: MemberId, rider: &[u8], out: &mut Wants) {
+    pub fn on_digest(&mut self, now: Ms, from: MemberId, rider: &[u8], out: &mut PendingWork) {
         match &mut self.kind {
             Kind::Councillor(it) => it.on_digest(now, from, rider, out),
             Kind::Follower(it) => it.on_digest(now, from, rider, out),
@@ -136,7 +143,7 @@
     use super::*;
     use ottersail_consensus::{AllowAll, Ballot, InstanceId, StoreGeneration};
 
-    /// Symptom without that: a councillor goes on to promise what no disk holds.
+    /// Otherwise a councillor could continue to promise what no disk holds.
     #[test]
     fn one_that_abstains_promises_nothing_more() {
         let folder = tempfile::tempdir().unwrap();
@@ -144,15 +151,15 @@
         let [me, other, third] = [1, 2, 3].map(MemberId);
         let config = CouncilConfig::new(me, InstanceId(4), &[me, other, third], 1);
         let opened = Some((store, StoredState { participating: true, ..stored }));
-        let (mut seat, keeper) = Seat::born(Ms(0.0), &config, opened);
-        assert!(keeper.is_some() && seat.is_councillor());
+        let (mut seat, store_writer) = Seat::born(Ms(0.0), &config, opened);
+        assert!(store_writer.is_some() && seat.is_councillor());
         assert_eq!((seat.turned(), seat.turned()), (Some(true), None), "told once");
         let ballot = Ballot { number: 1, proposer: other, life: InstanceId(9) };
         let prepare = Message::Prepare { key: Key::Founding, ballot };
         let kept = |seat: &mut Seat| {
-            let mut wants = Wants::default();
-            seat.on_message(Ms(1.0), other, &prepare, &AllowAll, &mut wants);
-            (wants.keeps.len(), wants.posts.len())
+            let mut work = PendingWork::default();
+            seat.on_message(Ms(1.0), other, &prepare, &AllowAll, &mut work);
+            (work.writes.len(), work.posts.len())
         };
         assert_eq!(kept(&mut seat), (1, 0), "a promise waits for the disk");
         seat.abstain(Ms(2.0), &config);
--- a/daemon/src/fleet/council/keeper.rs
+++ b/daemon/src/fleet/council/store_writer.rs
@@ -1,5 +1,5 @@
-//! The one thread that writes a councillor's store. Wishes that wait together go in one synced transaction,
-//! so that a slow disk costs latency of the council and nothing else: no viewer's request ever waits for it.
+//! The thread that writes a councillor's store. Waiting requests are written in one synced transaction. A slow disk
+//! thus delays the council only; no viewer's request ever waits for it.
 
 use crate::error::RunError;
 use async_channel::{Receiver, Sender};
@@ -9,41 +9,41 @@
 use std::time::{Duration, Instant};
 use tracing::error;
 
-/// Wishes that wait at most. An acceptor has 256 replies waiting at most, and a recovery adds some.
-const MOST_WAITING: usize = 1_024;
-/// Wishes in one transaction at most.
-const TOGETHER: usize = 128;
+/// Maximum number of waiting requests. An acceptor has at most 256 replies waiting, and a recovery adds some.
+const MAX_WAITING: usize = 1_024;
+/// Maximum number of requests in one transaction.
+const MAX_WRITES_PER_TRANSACTION: usize = 128;
 
-/// To be kept, all or none.
+/// Records to write, all or none.
 #[derive(Debug)]
-pub(in crate::fleet) struct Wish {
+pub(in crate::fleet) struct WriteRequest {
     token: Token,
     records: Vec<Record>,
     since: Instant,
 }
 
-/// Kept, and how long it took from the wish on.
+/// A completed write, and the time since its request.
 #[derive(Clone, Copy, Debug)]
-pub(in crate::fleet) struct Done {
+pub(in crate::fleet) struct Written {
     pub token: Token,
     pub took: Duration,
 }
 
-pub(in crate::fleet) struct Keeper {
-    wishes: Sender<Wish>,
+pub(in crate::fleet) struct StoreWriter {
+    requests: Sender<WriteRequest>,
     /// Closed once the store has failed.
-    pub done: Receiver<Done>,
+    pub done: Receiver<Written>,
 }
 
-impl Wish {
-    pub fn new(token: Token, records: &[Record]) -> Wish {
-        Wish { token, records: records.to_vec(), since: Instant::now() }
+impl WriteRequest {
+    pub fn new(token: Token, records: &[Record]) -> WriteRequest {
+        WriteRequest { token, records: records.to_vec(), since: Instant::now() }
     }
 }
 
-/// The store, or `None` with a line that says what to do: viewings go on without it.
+/// Opens the store, or logs an error that says what to do and returns `None`: viewings go on without it.
 pub(super) fn open(path: &Path) -> Option<(Store, StoredState)> {
-    match Store::open(path, StoreGeneration::drawn(crate::fleet::unguessed())) {
+    match Store::open(path, StoreGeneration::drawn(crate::fleet::unpredictable())) {
         Ok(opened) => Some(opened),
         Err(trouble) => {
             error!(target: "council", %trouble, "no store: this councillor abstains, viewings go on");
@@ -52,36 +52,37 @@
     }
 }
 
-impl Keeper {
+impl StoreWriter {
     /// # Errors
-    /// If no thread can be had.
-    pub fn start(store: Store) -> Result<Keeper, RunError> {
-        let (wishes, waiting) = async_channel::bounded::<Wish>(MOST_WAITING);
-        let (tell, done) = async_channel::bounded(MOST_WAITING);
+    /// If the thread cannot be started.
+    pub fn start(store: Store) -> Result<StoreWriter, RunError> {
+        let (requests, waiting) = async_channel::bounded::<WriteRequest>(MAX_WAITING);
+        let (tell, done) = async_channel::bounded(MAX_WAITING);
         let name = "council-store".to_string();
         std::thread::Builder::new()
             .name(name.clone())
             .spawn(move || write(&store, &waiting, &tell))
             .map_err(|cause| RunError::Thread { name, cause })?;
-        Ok(Keeper { wishes, done })
+        Ok(StoreWriter { requests, done })
     }
 
-    /// False if it can't be taken: the store has failed, or so many wait that it stands still.
-    pub fn put(&self, wish: Wish) -> bool {
-        self.wishes.try_send(wish).is_ok()
+    /// Returns false if the request cannot be queued: the store has failed, or too many requests wait.
+    pub fn put(&self, write: WriteRequest) -> bool {
+        self.requests.try_send(write).is_ok()
     }
 }
 
-fn write(store: &Store, waiting: &Receiver<Wish>, tell: &Sender<Done>) {
+fn write(store: &Store, waiting: &Receiver<WriteRequest>, tell: &Sender<Written>) {
     while let Ok(first) = waiting.recv_blocking() {
         let more = std::iter::from_fn(|| waiting.try_recv().ok());
-        let wishes: Vec<Wish> = std::iter::once(first).chain(more.take(TOGETHER - 1)).collect();
-        if let Err(trouble) = store.persist(wishes.iter().flat_map(|it| &it.records)) {
+        let requests: Vec<WriteRequest> =
+            std::iter::once(first).chain(more.take(MAX_WRITES_PER_TRANSACTION - 1)).collect();
+        if let Err(trouble) = store.persist(requests.iter().flat_map(|it| &it.records)) {
             error!(target: "council", %trouble, "the store failed: this councillor abstains, viewings go on");
             return;
         }
-        for wish in wishes {
-            if tell.send_blocking(Done { token: wish.token, took: wish.since.elapsed() }).is_err() {
+        for write in requests {
+            if tell.send_blocking(Written { token: write.token, took: write.since.elapsed() }).is_err() {
                 return;
             }
         }
@@ -96,17 +97,17 @@
     fn what_is_told_as_kept_is_there_after_a_start_and_comes_in_order() {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("council");
-        let keeper = Keeper::start(open(&path).unwrap().0).unwrap();
+        let store_writer = StoreWriter::start(open(&path).unwrap().0).unwrap();
         let memory =
             |it: u64| [Record::PeerGeneration(ottersail_membership::MemberId(it), StoreGeneration(it))];
-        assert!((1..=40).all(|it| keeper.put(Wish::new(Token(it), &memory(it)))));
-        let done: Vec<u64> = (1..=40).map(|_| keeper.done.recv_blocking().unwrap().token.0).collect();
+        assert!((1..=40).all(|it| store_writer.put(WriteRequest::new(Token(it), &memory(it)))));
+        let done: Vec<u64> = (1..=40).map(|_| store_writer.done.recv_blocking().unwrap().token.0).collect();
         assert_eq!(done, (1..=40).collect::<Vec<_>>());
-        drop(keeper);
+        drop(store_writer);
         let held = || open(&path).map(|it| it.1.known.len());
         let began = Instant::now();
         let mut found = None;
-        // The thread lets the file go a moment after its queue.
+        // The thread closes the file shortly after its queue.
         while found.is_none() && began.elapsed() < Duration::from_secs(5) {
             found = held();
         }
--- a/daemon/src/fleet/hands.rs
+++ b/daemon/src/fleet/effects.rs
@@ -1,32 +1,33 @@
-//! What the machine wishes.
+//! Carries out the effects of the membership.
 
-use super::{door, lines, Fleet};
+use super::{http_address, log, Fleet};
 use ottersail_membership::{Address, Change, DialId, Effects, MemberId, Message, State, Topic};
 use tracing::error;
 
-/// Sends at once; dials once the machine has come back, since their answers are inputs of it.
-pub(super) struct Hands<'a> {
+/// Sends messages immediately. Probes over HTTP start only after the membership has returned, since their results are
+/// inputs to it.
+pub(super) struct MemberEffects<'a> {
     pub fleet: &'a Fleet,
-    /// Who is being answered: the book may not know it yet.
+    /// The member that is being answered; the address book may not know it yet.
     pub partner: Option<(Address, MemberId)>,
     pub dials: Vec<(Address, DialId)>,
-    /// Who came in or came back.
-    pub met: Vec<MemberId>,
-    /// For the layers above, once the machine has come back: they may tell others in turn.
+    /// Members that joined or returned.
+    pub newly_alive: Vec<MemberId>,
+    /// Messages for the upper layers, passed on after the membership has returned, since they may send in turn.
     pub heard: Vec<(MemberId, Topic, Vec<u8>)>,
-    /// Addresses may be others' now.
+    /// The roster has changed, so addresses may have changed too.
     pub changed: bool,
 }
 
-impl Effects for Hands<'_> {
+impl Effects for MemberEffects<'_> {
     fn send(&mut self, to: Address, message: &Message) {
         let partner = self.partner.filter(|it| it.0 == to).map(|it| it.1);
-        let id = partner.or_else(|| self.fleet.book.borrow().id(to));
+        let id = partner.or_else(|| self.fleet.addresses.borrow().id(to));
         let sealed = self.fleet.gate.borrow_mut().seal(id, message);
         match sealed {
             Ok(bytes) => self.fleet.send(&bytes, to),
             Err(trouble) => {
-                self.fleet.tally.unsealed.set(self.fleet.tally.unsealed.get() + 1);
+                self.fleet.counters.unsealed.set(self.fleet.counters.unsealed.get() + 1);
                 error!(target: "members", %trouble, %to, "a message could not be sent");
             }
         }
@@ -37,8 +38,8 @@
     }
 
     fn deliver(&mut self, from: MemberId, topic: Topic, bytes: &[u8]) {
-        if topic == door::TOPIC {
-            self.fleet.doors.borrow_mut().hear(from, bytes);
+        if topic == http_address::TOPIC {
+            self.fleet.http_addresses.borrow_mut().insert(from, bytes);
         } else {
             self.heard.push((from, topic, bytes.to_vec()));
         }
@@ -48,10 +49,10 @@
         self.changed = true;
         match change {
             Change::State { id, was, is: State::Alive, .. } if *was != Some(State::Suspect) => {
-                self.met.push(*id);
+                self.newly_alive.push(*id);
             }
             _ => {}
         }
-        lines::write(change);
+        log::write(change);
     }
 }
--- a/daemon/src/fleet/lines.rs
+++ b/daemon/src/fleet/log.rs
@@ -1,4 +1,4 @@
-//! Changes as lines of the log, target `members`.
+//! Logs membership changes under the target `members`.
 
 use ottersail_membership::{Change, Reachability, State, StateChangeReason};
 use tracing::{info, warn};
--- a/daemon/src/fleet/figures.rs
+++ b/daemon/src/fleet/metrics.rs
@@ -1,6 +1,6 @@
-//! The members' part of the page of figures.
+//! The metrics of the membership.
 
-use super::{lines, Fleet};
+use super::{log, Fleet};
 use ottersail_membership::auth::DropReason;
 use ottersail_membership::{Counters, Reachability, State};
 use prometheus_client::metrics::counter::Counter;
@@ -20,14 +20,14 @@
     Reachability::Unreachable,
 ];
 
-/// What went over the socket.
+/// Traffic on the datagram socket.
 #[derive(Debug, Default)]
-pub(super) struct Tally {
+pub(super) struct TrafficCounters {
     datagrams: [Cell<u64>; 2],
     bytes: [Cell<u64>; 2],
     /// Messages that could not be sealed.
     pub unsealed: Cell<u64>,
-    /// Errors of the system's in place of a datagram.
+    /// Errors that the system returned instead of a datagram.
     pub odd: Cell<u64>,
 }
 
@@ -35,7 +35,7 @@
     of.set(of.get().wrapping_add(by));
 }
 
-impl Tally {
+impl TrafficCounters {
     pub fn taken(&self, bytes: usize) {
         self.went(0, bytes);
     }
@@ -59,7 +59,7 @@
 }
 
 impl Fleet {
-    /// Puts the members' figures beside the others.
+    /// Registers the metrics of the membership and the council.
     pub fn register_metrics(&self, registry: &mut Registry) {
         self.register_council(registry);
         let members = self.members.borrow();
@@ -67,36 +67,39 @@
             Default::default();
         for state in STATES {
             let count = members.others().filter(|it| it.1.state == state).count() as u64;
-            gauge(&by_state, vec![("state", lines::state(state).into())], count);
+            gauge(&by_state, vec![("state", log::state(state).into())], count);
         }
         let up = || members.others().filter(|it| matches!(it.1.state, State::Alive | State::Suspect));
         for hearing in HEARINGS {
             let count = up().filter(|it| it.1.reachability == hearing).count() as u64;
-            gauge(&by_hearing, vec![("hearing", lines::hearing(hearing).into())], count);
+            gauge(&by_hearing, vec![("hearing", log::hearing(hearing).into())], count);
         }
         for (_, known) in members.others() {
-            let (state, hearing) =
-                (lines::state(known.state).into(), lines::hearing(known.reachability).into());
+            let (state, hearing) = (log::state(known.state).into(), log::hearing(known.reachability).into());
             gauge(&each, vec![("name", known.name.clone()), ("state", state), ("hearing", hearing)], 1);
         }
-        let doors: Gauge = Gauge::default();
-        doors.set(self.doors.borrow().count(members.others()) as i64);
-        registry.register("member_doors", "Members whose HTTP address is known, for the second way", doors);
+        let http_addresses: Gauge = Gauge::default();
+        http_addresses.set(self.http_addresses.borrow().count(members.others()) as i64);
+        registry.register(
+            "member_doors",
+            "Members whose HTTP address is known, for the second way",
+            http_addresses,
+        );
         registry.register("members", "Other members known, by state", by_state);
         registry.register("members_heard", "Members not dead, by who hears whom", by_hearing);
         registry.register("member", "Each other member: what is believed of it", each);
         let (datagrams, bytes, dropped): (Family<Of, Counter>, Family<Of, Counter>, Family<Of, Counter>) =
             Default::default();
         for (way, name) in ["in", "out"].into_iter().enumerate() {
-            count(&datagrams, vec![("way", name.into())], self.tally.datagrams[way].get());
-            count(&bytes, vec![("way", name.into())], self.tally.bytes[way].get());
+            count(&datagrams, vec![("way", name.into())], self.counters.datagrams[way].get());
+            count(&bytes, vec![("way", name.into())], self.counters.bytes[way].get());
         }
         let gate = self.gate.borrow();
         for why in DropReason::ALL {
             count(&dropped, vec![("kind", why.name().into())], gate.dropped(why));
         }
-        count(&dropped, vec![("kind", "odd".into())], self.tally.odd.get());
-        count(&dropped, vec![("kind", "unsealed".into())], self.tally.unsealed.get());
+        count(&dropped, vec![("kind", "odd".into())], self.counters.odd.get());
+        count(&dropped, vec![("kind", "unsealed".into())], self.counters.unsealed.get());
         registry.register("member_datagrams", "Datagrams between members", datagrams);
         registry.register("member_bytes", "Bytes of datagrams between members", bytes);
         registry.register("member_datagrams_dropped", "Datagrams dropped, by kind", dropped);
--- a/rollout/src/tests.rs
+++ b/rollout/src/tests.rs
@@ -4,6 +4,7 @@
 mod checker;
 mod coordinating;
 mod council;
+mod faults;
 mod fleets;
 mod histories;
 mod member_life;
--- a/rollout/src/tests/simulation.rs
+++ b/rollout/src/tests/simulation.rs
@@ -3,6 +3,7 @@
 
 use super::checker::Checker;
 use super::council::*;
+pub use super::faults::Faults;
 use crate::*;
 use ottersail_membership::rng::SeededRng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,20 +24,6 @@
     Stopped(InstanceId, UsablePermit),
 }
 
-/// Probabilities of faults; all 0 without faults.
-#[derive(Clone, Copy, Default)]
-pub struct Faults {
-    pub loss: f64,
-    pub slow: f64,
-    pub twice: f64,
-    /// A holder is killed, at each point between permit and return.
-    pub killed: f64,
-    /// A holder is paused, at each point between permit and return.
-    pub stopped: f64,
-    /// A proposal reaches only one councillor, and its proposer is paused for 10 s.
-    pub half: f64,
-}
-
 pub struct Node {
     pub rate: f64,
     pub offset: f64,
