--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -110,9 +110,9 @@
             DatagramAuth::new(terms.local.id, life, &told.cluster, load_member_keys(told)?, unpredictable());
         let (id, name) = (terms.local.id, told.name.clone());
         let mut members = Members::new(ottersail::time::Ms(0.0), seed, terms);
-        let door = HttpAddress::of(&manager.listen, told.advertise);
-        if let Some(door) = door {
-            members.set_piggyback(http_address::TOPIC, &door.encode());
+        let http_address = HttpAddress::of(&manager.listen, told.advertise);
+        if let Some(address) = http_address {
+            members.set_piggyback(http_address::TOPIC, &address.encode());
         }
         let council = Council::born(ottersail::time::Ms(0.0), seed, life, manager);
         let fleet = Rc::new_cyclic(|me| Fleet {
@@ -124,7 +124,7 @@
             members: RefCell::new(members),
             gate: RefCell::new(gate),
             addresses: RefCell::default(),
-            http_address: door,
+            http_address,
             http_addresses: RefCell::default(),
             probe_limit: ProbeLimit::default(),
             period: Duration::from_secs_f64(told.period.0 / 1e3),
--- a/daemon/src/fleet/council.rs
+++ b/daemon/src/fleet/council.rs
@@ -139,10 +139,10 @@
         self.arrivals.set(self.arrivals.get().saturating_add(1));
     }
 
-    pub fn bell_at(&self) -> Ms {
+    pub fn next_timer(&self) -> Ms {
         let holder = self.leases.as_ref().map_or(Ms(f64::INFINITY), |it| it.holder.next_deadline());
-        let releases = self.releases.as_ref().map_or(Ms(f64::INFINITY), Releases::bell_at);
-        self.look_at.min(self.seat.next_timer()).min(holder).min(self.part.bell_at()).min(releases)
+        let releases = self.releases.as_ref().map_or(Ms(f64::INFINITY), Releases::next_timer);
+        self.look_at.min(self.seat.next_timer()).min(holder).min(self.part.next_timer()).min(releases)
     }
 
     /// Handles the roster and the data that members piggyback.
@@ -185,8 +185,8 @@
         self.process(now, work, out);
     }
 
-    pub fn bell(&mut self, now: Ms, out: &mut Outputs) {
-        self.process(now, PendingWork::of(Input::Bell), out);
+    pub fn on_timer(&mut self, now: Ms, out: &mut Outputs) {
+        self.process(now, PendingWork::of(Input::Timer), out);
     }
 
     /// Handles a message of another member.
--- a/daemon/src/fleet/council/inputs.rs
+++ b/daemon/src/fleet/council/inputs.rs
@@ -33,13 +33,13 @@
     pub(super) fn step(&mut self, now: Ms, input: Input, work: &mut PendingWork) {
         let guard = Leases(self.leases.as_ref().map(|it| &it.renewals), self.releases.as_ref());
         match input {
-            Input::Bell => {
+            Input::Timer => {
                 self.seat.on_timer(now, &guard, work);
                 if let Some(held) = &mut self.leases {
                     held.holder.handle_deadline(now, work);
                 }
                 if let Some(it) = &mut self.releases {
-                    it.bell(now, work);
+                    it.on_timer(now, work);
                 }
             }
             Input::Heard(from, CouncilMessage::Council(it)) => {
--- a/daemon/src/fleet/council/leave_tests.rs
+++ b/daemon/src/fleet/council/leave_tests.rs
@@ -32,9 +32,9 @@
         lease_counters: Counters::default(),
         council_metrics: CouncilMetrics::default(),
     };
-    it.bell(Ms(0.0), &mut Outputs::default());
+    it.on_timer(Ms(0.0), &mut Outputs::default());
     let mut outputs = Outputs::default();
-    it.bell(Ms(400.0), &mut outputs);
+    it.on_timer(Ms(400.0), &mut outputs);
     assert_eq!(outputs.part.map(|it| it.leased_slots), Some(vec![0, 1]));
     it
 }
--- a/daemon/src/fleet/council/log.rs
+++ b/daemon/src/fleet/council/log.rs
@@ -38,7 +38,7 @@
 pub(super) fn unknown_head(bytes: usize) {
     error!(
         target: "council", bytes,
-        "the register head is of a version that is not known here: no slots; bring this program to theirs"
+        "the founding register has an unknown version: no slots are used; update this program to the version of the others"
     );
 }
 
@@ -55,13 +55,13 @@
 }
 
 pub(super) fn trouble(trouble: &LeaseError) {
-    error!(target: "parts", %trouble, "a register can't be read");
+    error!(target: "parts", %trouble, "a register cannot be decoded");
 }
 
 pub(super) fn unread(it: Key) {
     error!(
         target: "releases", key = key(it),
-        "the register is of a version that is not known here; bring this program to theirs"
+        "the register has an unknown version; update this program to the version of the others"
     );
 }
 
@@ -90,8 +90,8 @@
     if stopped {
         warn!(
             target: "releases", serial,
-            "the order of the file stands, halted by evidence; look at it, then go on or back under a greater \
-             serial"
+            "the order of the file stands, halted by evidence; check the evidence, then order go or back under a \
+             greater serial"
         );
     } else {
         info!(target: "releases", serial, "the order of the file stands already");
@@ -107,7 +107,7 @@
 }
 
 pub(super) fn kept_out(it: Key, refusal: &Refusal) {
-    info!(target: "releases", key = key(it), %refusal, "kept out of the register");
+    info!(target: "releases", key = key(it), %refusal, "value refused for the register");
 }
 
 pub(super) fn note(it: &Event) {
--- a/daemon/src/fleet/council/outputs.rs
+++ b/daemon/src/fleet/council/outputs.rs
@@ -11,7 +11,7 @@
 /// An input for one of the state machines.
 #[derive(Clone, Debug)]
 pub(super) enum Input {
-    Bell,
+    Timer,
     Heard(MemberId, CouncilMessage),
     Kept(Token),
     Chosen(Key, Value),
--- a/daemon/src/fleet/council/part.rs
+++ b/daemon/src/fleet/council/part.rs
@@ -20,7 +20,7 @@
     until: Ms,
     told: Option<SlotShare>,
     /// When the next slot has been held for long enough, or the lease ends.
-    bell: Ms,
+    next_change: Ms,
     /// How often the lease has expired.
     ran_out: u64,
 }
@@ -28,7 +28,7 @@
 impl PartInUse {
     pub fn new(number: (u64, f64), slots: u16, window: Ms) -> PartInUse {
         let (since, never) = (BTreeMap::new(), Ms(f64::INFINITY));
-        PartInUse { number, slots, window, since, until: never, told: None, bell: never, ran_out: 0 }
+        PartInUse { number, slots, window, since, until: never, told: None, next_change: never, ran_out: 0 }
     }
 
     /// Uses another number of slots than the settings state.
@@ -37,8 +37,8 @@
         self.told = None;
     }
 
-    pub fn bell_at(&self) -> Ms {
-        self.bell
+    pub fn next_timer(&self) -> Ms {
+        self.next_change
     }
 
     pub fn told(&self) -> usize {
@@ -73,12 +73,12 @@
         for slot in (0..self.slots).map(Slot).filter(counts) {
             self.since.entry(slot).or_insert(now);
         }
-        // The holder before may have used it up to the moment this one had it: within the window of the rule
-        // on cold servers both would be counted. Symptom without that: a cold server gets the pace twice.
+        // The previous holder may have used the slot until this one got it, so within the window of the rule on cold
+        // servers both would count. Without the wait, a cold server would get set-ups at twice the allowed rate.
         let ripe = |since: Ms| now >= since + self.window;
         let leased = self.since.iter().filter(|it| ripe(*it.1)).map(|it| u64::from(it.0 .0)).collect();
         let unripe = self.since.values().filter(|it| !ripe(**it)).map(|it| *it + self.window);
-        self.bell = unripe.fold(self.until, Ms::min);
+        self.next_change = unripe.fold(self.until, Ms::min);
         let (number, managers) = self.number;
         let kept = u64::from(self.slots) + number;
         let of = f64::from(self.slots) + managers;
--- a/daemon/src/fleet/council/part_tests.rs
+++ b/daemon/src/fleet/council/part_tests.rs
@@ -58,10 +58,10 @@
     holds(&mut holder, Ms(10.0), 1, 2);
     let part = share.look(Ms(10.0), Some(&holder), false).unwrap();
     assert_eq!((part.leased_slots.len(), part.lease_end_ms), (0, 1_010.0));
-    assert_eq!((share.held().count(), share.bell_at()), (2, Ms(310.0)));
+    assert_eq!((share.held().count(), share.next_timer()), (2, Ms(310.0)));
     assert_eq!(share.look(Ms(309.0), Some(&holder), false), None);
     let part = share.look(Ms(310.0), Some(&holder), false).unwrap();
-    assert_eq!((part.leased_slots, share.bell_at()), (vec![0, 1], Ms(1_010.0)));
+    assert_eq!((part.leased_slots, share.next_timer()), (vec![0, 1], Ms(1_010.0)));
 }
 
 #[test]
--- a/daemon/src/fleet/council/releases.rs
+++ b/daemon/src/fleet/council/releases.rs
@@ -41,12 +41,12 @@
         Releases { holder: PermitHolder::new(now, me, version, period), coordinator, file: None, order: None }
     }
 
-    pub fn bell_at(&self) -> Ms {
+    pub fn next_timer(&self) -> Ms {
         let coordinator = self.coordinator.as_ref().map_or(Ms(f64::INFINITY), Coordinator::next_timer);
         self.holder.next_timer().min(coordinator)
     }
 
-    pub fn bell(&mut self, now: Ms, work: &mut PendingWork) {
+    pub fn on_timer(&mut self, now: Ms, work: &mut PendingWork) {
         self.holder.on_timer(now, work);
         if let Some(it) = &mut self.coordinator {
             it.on_timer(now, work);
--- a/daemon/src/fleet/council/tasks.rs
+++ b/daemon/src/fleet/council/tasks.rs
@@ -41,8 +41,8 @@
         }
     }
 
-    fn bell_at(&self) -> f64 {
-        self.council.borrow().as_ref().map_or(f64::INFINITY, |it| it.bell_at().0)
+    fn next_timer(&self) -> f64 {
+        self.council.borrow().as_ref().map_or(f64::INFINITY, |it| it.next_timer().0)
     }
 }
 
@@ -84,7 +84,7 @@
             shrunk = self.with_council(|it, now, outputs| it.shrunk(now, outputs)).unwrap_or(false);
         }
         self.go_out();
-        if self.council_tasks.bell_at() < self.council_tasks.timer_at.get() {
+        if self.council_tasks.next_timer() < self.council_tasks.timer_at.get() {
             _ = self.council_tasks.timer_changed.0.try_send(());
         }
     }
@@ -102,10 +102,10 @@
         let now = self.now();
         let in_time = |it: &mut Council| it.still_in_time(now, &going);
         if self.council_tasks.council.borrow_mut().as_mut().is_some_and(in_time) {
-            info!(target: "releases", version = %going.version, "goes out by its permit");
+            info!(target: "releases", version = %going.version, "leaving on a permit of the release");
             _ = self.council_tasks.out.0.try_send(going.version);
         } else {
-            warn!(target: "releases", "a permit ran out before it was used: viewings are taken again");
+            warn!(target: "releases", "a permit expired before it was used: taking viewings again");
             owner.handle(&FrontInput::Resume);
         }
     }
@@ -148,7 +148,7 @@
             if !self.council_tasks.store_writer.as_ref().is_some_and(|it| it.put(write)) {
                 error!(
                     target: "council",
-                    "the store takes no more: this councillor abstains; check the disk, then start again"
+                    "the store accepts no more writes: this councillor abstains; check the disk, then restart"
                 );
                 self.lost_store();
                 break;
@@ -200,7 +200,7 @@
 
     async fn run_council_timer(self: Rc<Fleet>) {
         loop {
-            let due = self.council_tasks.bell_at();
+            let due = self.council_tasks.next_timer();
             self.council_tasks.timer_at.set(due);
             // Slightly late, so that the timer is due when it is checked.
             let at = self.began + Duration::from_secs_f64((due + 0.1).clamp(0.0, 1e12) / 1e3);
@@ -208,10 +208,10 @@
                 _ = self.council_tasks.timer_changed.1.recv().await;
             })
             .await;
-            if self.council_tasks.bell_at() <= self.now().0 {
+            if self.council_tasks.next_timer() <= self.now().0 {
                 self.council(|it, now, outputs| {
                     self.stands(it, now);
-                    it.bell(now, outputs);
+                    it.on_timer(now, outputs);
                     it.roster(now, self.members.borrow().others(), outputs);
                 });
             }
--- a/daemon/src/fleet/http_address.rs
+++ b/daemon/src/fleet/http_address.rs
@@ -128,10 +128,10 @@
     head.starts_with("HTTP/") && head.lines().any(named)
 }
 
-/// Whether that member's process answers there within `patience`. That its system takes the connection says
-/// nothing: it does so for a process that stands still as well. Nor does an answer alone: the address may be
-/// another's by now. Symptom without the name: one that was killed is never buried, since the member of
-/// another cluster that got its address answers in its place.
+/// Whether that member's process answers there within `patience`. An accepted connection proves nothing, since the
+/// operating system accepts it for a paused process too. Neither does an answer alone, since another process may have
+/// the address by now. Without the check of the id, a killed member would never be declared dead if a member of another
+/// cluster got its address and answered in its place.
 pub(super) async fn probe(address: HttpAddress, id: MemberId, patience: Duration) -> bool {
     let ask = async {
         let mut stream = Stream::connect(SocketAddr::V4(address.0)).await.ok()?;
--- a/daemon/src/fleet/http_probe.rs
+++ b/daemon/src/fleet/http_probe.rs
@@ -14,13 +14,13 @@
         };
         let told = self.http_addresses.borrow().of(id, self.members.borrow().others());
         // A member that has not announced its HTTP address may have it at the same address.
-        let door = told.unwrap_or(HttpAddress::at(to));
+        let address = told.unwrap_or(HttpAddress::at(to));
         let Some(fleet) = self.me.upgrade() else {
             return;
         };
         let period = self.period;
         let task = async move {
-            let up = probe(door, id, period).await;
+            let up = probe(address, id, period).await;
             drop(held);
             fleet.dialled(tag, up);
         };
--- a/daemon/src/fleet/log.rs
+++ b/daemon/src/fleet/log.rs
@@ -47,7 +47,7 @@
         ),
         Change::Joined => info!(target: "members", "came in"),
         Change::Paused { late } => {
-            warn!(target: "members", late_ms = late.0.round(), "this process stood still; nobody is buried for that");
+            warn!(target: "members", late_ms = late.0.round(), "this process was paused; no member is declared dead because of it");
         }
     }
 }
--- a/rollout/src/tests/carry_out.rs
+++ b/rollout/src/tests/carry_out.rs
@@ -33,16 +33,16 @@
         let (now, mut out) = (self.local(node), CollectedEffects::default());
         let it = &mut self.nodes[node];
         give(it, now, &mut out);
-        let bell = it
+        let timer_at = it
             .coordinator
             .as_ref()
             .map_or(Ms(f64::INFINITY), |it| it.next_timer())
             .min(it.holder.next_timer());
-        let bell = Ms((bell.0 - it.offset) / it.rate).max(self.now) + Ms(1e-3);
+        let timer_at = Ms((timer_at.0 - it.offset) / it.rate).max(self.now) + Ms(1e-3);
         let (life, wants) = (it.life, it.holder.usable_permit(now));
-        if bell < it.bell {
-            it.bell = bell;
-            self.put(bell, node, node, Body::Bell);
+        if timer_at < it.timer_at {
+            it.timer_at = timer_at;
+            self.put(timer_at, node, node, Body::Timer);
         }
         let at = self.now;
         self.events.extend(out.events.into_iter().map(|it| (at, it)));
--- a/rollout/src/tests/coordinating.rs
+++ b/rollout/src/tests/coordinating.rs
@@ -26,7 +26,7 @@
     }
 }
 
-fn bell(coordinator: &mut Coordinator, at: f64) -> CollectedEffects {
+fn run_timer(coordinator: &mut Coordinator, at: f64) -> CollectedEffects {
     let mut out = CollectedEffects::default();
     coordinator.set_active(Ms(at), true);
     coordinator.on_timer(Ms(at + 100.0), &mut out);
@@ -35,7 +35,7 @@
 
 #[test]
 fn first_step_sends_a_member_that_is_no_councillor() {
-    let out = bell(&mut councillor(ALL), 13e3);
+    let out = run_timer(&mut councillor(ALL), 13e3);
     let (revision, table) = &out.tables[0];
     assert_eq!((*revision, table.order_revision, table.serial, table.permits.len()), (0, 7, Serial(3), 1));
     assert!(table.permits[0].member > id(2) && table.permits[0].version == name("v2"));
@@ -45,14 +45,14 @@
 fn verdict_stops_permits_and_proposes_a_halt_under_the_same_serial() {
     let mut coordinator = councillor(ALL);
     coordinator.on_verdict(Ms(13e3), "5 points more blocked");
-    let out = bell(&mut coordinator, 13e3);
+    let out = run_timer(&mut coordinator, 13e3);
     let halted = Order { state: State::HaltedByEvidence, ..go() };
     assert_eq!((out.tables.len(), out.halts), (0, vec![(7, halted.clone())]));
     assert!(
         matches!(&out.events[..], [Event::HaltedByEvidence { reason, .. }] if reason.contains("5 points"))
     );
     coordinator.on_order(Ms(14e3), 8, &halted);
-    assert!(bell(&mut coordinator, 14e3).halts.is_empty());
+    assert!(run_timer(&mut coordinator, 14e3).halts.is_empty());
     assert_eq!(coordinator.view(Ms(14e3)).unwrap().halted_by.as_deref(), Some("5 points more blocked"));
     // A greater serial lifts the halt.
     coordinator.on_order(Ms(15e3), 9, &Order { serial: Serial(4), ..go() });
@@ -66,10 +66,10 @@
     let waits = |out: CollectedEffects| {
         out.events.iter().filter(|it| matches!(it, Event::PermitOverdue { .. })).count()
     };
-    assert_eq!(waits(bell(&mut coordinator, 49e3)), 0);
-    let out = bell(&mut coordinator, 51e3);
+    assert_eq!(waits(run_timer(&mut coordinator, 49e3)), 0);
+    let out = run_timer(&mut coordinator, 51e3);
     assert!(out.events.iter().any(|it| it.to_string().contains("(m3) has its permit for 38100")));
-    assert_eq!((waits(out), waits(bell(&mut coordinator, 60e3))), (1, 0));
+    assert_eq!((waits(out), waits(run_timer(&mut coordinator, 60e3))), (1, 0));
 }
 
 /// A released member blocks ten of its twenty viewings a second, or none.
@@ -89,7 +89,7 @@
             let told = MemberStatus { counts, version, ..status(second * 1_000) };
             coordinator.on_status(Ms(now), id(*member), InstanceId(1), &told);
         }
-        halted = halted.or(bell(&mut coordinator, now + 200.0).halts.pop());
+        halted = halted.or(run_timer(&mut coordinator, now + 200.0).halts.pop());
     }
     assert_eq!(halted.map(|it| (it.0, it.1.state)), halts.then_some((7, State::HaltedByEvidence)));
     let told = coordinator.view(Ms(90e3)).unwrap().halted_by;
@@ -116,7 +116,7 @@
     }
     let mut tables = 0;
     for look in 0..20_u32 {
-        let out = bell(&mut coordinator, 13e3 + 200.0 * f64::from(look));
+        let out = run_timer(&mut coordinator, 13e3 + 200.0 * f64::from(look));
         if let Some((revision, table)) = out.tables.into_iter().next() {
             tables += 1;
             coordinator.on_answer(Ms(13e3), Outcome::Chosen { revision: revision + 1 });
--- a/rollout/src/tests/member_life.rs
+++ b/rollout/src/tests/member_life.rs
@@ -57,7 +57,7 @@
         let (now, guards, count) = (self.local(node), self.guards, self.councillors);
         let all: Vec<MemberId> = (0..count).map(id).collect();
         let it = &mut self.nodes[node];
-        (it.life, it.up, it.started, it.bell) =
+        (it.life, it.up, it.started, it.timer_at) =
             (InstanceId(it.life.0 + 1), true, self.now, Ms(f64::INFINITY));
         (it.version, it.known) = (version.clone(), BTreeMap::new());
         it.holder = PermitHolder::with_guards(now, (id(node), it.life), version.clone(), PERIOD, guards);
--- a/rollout/src/tests/simulation.rs
+++ b/rollout/src/tests/simulation.rs
@@ -16,7 +16,7 @@
     Round(Round),
     News(BTreeMap<Key, Value>),
     File(Order),
-    Bell,
+    Timer,
     Tick,
     Ready(InstanceId),
     Start(Name),
@@ -38,7 +38,7 @@
     pub council: Option<Councillor>,
     /// For councillors: the instance of each member and when it was last heard of.
     pub heard: Vec<(InstanceId, Ms)>,
-    pub bell: Ms,
+    pub timer_at: Ms,
     pub leaving: bool,
     pub started: Ms,
 }
@@ -104,7 +104,7 @@
                 coordinator,
                 council,
                 heard,
-                bell: Ms(f64::INFINITY),
+                timer_at: Ms(f64::INFINITY),
                 leaving: false,
                 started: Ms(0.0),
             }
@@ -185,8 +185,8 @@
 
     fn take(&mut self, from: usize, to: usize, body: Body) {
         match body {
-            Body::Bell => {
-                self.nodes[to].bell = Ms(f64::INFINITY);
+            Body::Timer => {
+                self.nodes[to].timer_at = Ms(f64::INFINITY);
                 self.input(to, |it, now, out| {
                     it.holder.on_timer(now, out);
                     it.coordinator.as_mut().into_iter().for_each(|it| it.on_timer(now, out));
