--- a/daemon/src/fleet/council/share.rs
+++ b/daemon/src/fleet/council/part.rs
@@ -1,4 +1,4 @@
-//! The part as the module is told it: which slots, of how many, until when by the front's clock.
+//! The part of the capacity that the placement may use: which slots, of how many, and until when by the front's clock.
 //!
 //! Besides the D leased slots each manager has one of its own, number D + N of D + M, which no council gives
 //! or takes: with the council gone a manager acts on that alone, and all parts are the whole at most.
@@ -8,44 +8,44 @@
 use ottersail_leases::{Holder, Slot};
 use std::collections::BTreeMap;
 
-pub(super) struct Share {
-    /// N of M.
+pub(super) struct PartInUse {
+    /// This manager's number N and the number of managers M.
     number: (u64, f64),
     slots: u16,
-    /// How far back the rule on cold servers looks.
+    /// The time window of the rule on cold servers.
     window: Ms,
     /// Since when each slot has been held without a gap.
     since: BTreeMap<Slot, Ms>,
-    /// The lease's end, by the members' clock.
+    /// The end of the lease, by the members' clock.
     until: Ms,
     told: Option<SlotShare>,
-    /// When a slot has been held for long enough, or the lease ends.
-    bell: Ms,
-    /// The lease ran out since the last look at that.
+    /// When the next slot has been held for long enough, or the lease ends.
+    next_change: Ms,
+    /// How often the lease has expired.
     ran_out: u64,
 }
 
-impl Share {
-    pub fn new(number: (u64, f64), slots: u16, window: Ms) -> Share {
+impl PartInUse {
+    pub fn new(number: (u64, f64), slots: u16, window: Ms) -> PartInUse {
         let (since, never) = (BTreeMap::new(), Ms(f64::INFINITY));
-        Share { number, slots, window, since, until: never, told: None, bell: never, ran_out: 0 }
+        PartInUse { number, slots, window, since, until: never, told: None, next_change: never, ran_out: 0 }
     }
 
-    /// Another count of slots than the settings told.
+    /// Uses another number of slots than the settings state.
     pub fn cut(&mut self, slots: u16) {
         self.slots = slots;
         self.told = None;
     }
 
-    pub fn bell_at(&self) -> Ms {
-        self.bell
+    pub fn next_timer(&self) -> Ms {
+        self.next_change
     }
 
     pub fn told(&self) -> usize {
         self.told.as_ref().map_or(0, |it| it.leased_slots.len())
     }
 
-    /// Slots held now, whether the module may use them yet or not.
+    /// The slots held now, whether the placement may use them yet or not.
     pub fn held(&self) -> impl Iterator<Item = Slot> + '_ {
         self.since.keys().copied()
     }
@@ -58,7 +58,7 @@
     /// `until` is by the members' clock yet.
     pub fn look(&mut self, now: Ms, holder: Option<&Holder>, anyway: bool) -> Option<SlotShare> {
         let part = holder.and_then(|it| it.current_share(now));
-        // One slot's lease may end before the others': only an end of all of them is worth a line.
+        // One slot's lease may end before the others'; only the end of all leases is logged.
         if part.is_none() && !self.since.is_empty() && now >= self.until {
             self.ran_out += 1;
             let late = (now - self.until).0.round();
@@ -73,12 +73,12 @@
         for slot in (0..self.slots).map(Slot).filter(counts) {
             self.since.entry(slot).or_insert(now);
         }
-        // The holder before may have used it up to the moment this one had it: within the window of the rule
-        // on cold servers both would be counted. Symptom without that: a cold server gets the pace twice.
+        // The previous holder may have used the slot until this one got it, so within the window of the rule on cold
+        // servers both would count. Without the wait, a cold server would get set-ups at twice the allowed rate.
         let ripe = |since: Ms| now >= since + self.window;
         let leased = self.since.iter().filter(|it| ripe(*it.1)).map(|it| u64::from(it.0 .0)).collect();
         let unripe = self.since.values().filter(|it| !ripe(**it)).map(|it| *it + self.window);
-        self.bell = unripe.fold(self.until, Ms::min);
+        self.next_change = unripe.fold(self.until, Ms::min);
         let (number, managers) = self.number;
         let kept = u64::from(self.slots) + number;
         let of = f64::from(self.slots) + managers;
--- a/rollout/src/tests/council.rs
+++ b/rollout/src/tests/council.rs
@@ -1,5 +1,5 @@
-//! A simple model of the council: two CASPaxos registers (Rystsov 2018), what was promised kept through
-//! restarts. Each acceptor asks its own conductor's guard.
+//! A simple model of the council: two CASPaxos registers (Rystsov 2018) whose promises survive restarts. Each acceptor
+//! consults the guard of its own coordinator.
 
 use crate::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,9 +15,9 @@
 
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// That body, if the register is at that revision.
+    /// Sets that body if the register is at that revision.
     If(u64, Vec<u8>),
-    /// An operator's file: that order, if it follows the one that stands.
+    /// Sets the order of an operator's file if it may replace the one in force.
     File(Order),
 }
 
@@ -46,7 +46,7 @@
     value: Option<(Value, bool)>,
 }
 
-/// What a councillor says: a round to another, an outcome to its own conductor, or what is chosen.
+/// An output of a councillor: a message to another one, or an outcome for its own conductor, or what is chosen.
 pub enum Say {
     To(usize, Round),
     Ended(Key, Option<(Value, bool)>),
@@ -73,15 +73,15 @@
         self.registers.get(&key)?.accepted.as_ref().map(|it| &it.1)
     }
 
-    fn allows(&self, now: Ms, conductor: &Coordinator, key: Key, to: &[u8], guards: Guards) -> bool {
+    fn allows(&self, now: Ms, coordinator: &Coordinator, key: Key, to: &[u8], guards: Guards) -> bool {
         let order = self.body(Key::Order).and_then(|it| Some((it.0, Order::decode(&it.1)?)));
         match key {
             Key::Order => Order::decode(to)
-                .is_some_and(|it| follows(order.as_ref().map(|it| &it.1), &it, guards).is_ok()),
+                .is_some_and(|it| may_replace(order.as_ref().map(|it| &it.1), &it, guards).is_ok()),
             Key::PermitTable => {
                 let order = order.as_ref().map(|it| (it.0, &it.1));
                 let from = self.body(Key::PermitTable).and_then(|it| PermitTable::decode(&it.1));
-                let allows = |to: PermitTable| conductor.allows(now, order, from.as_ref(), &to).is_ok();
+                let allows = |to: PermitTable| coordinator.allows(now, order, from.as_ref(), &to).is_ok();
                 PermitTable::decode(to).is_some_and(allows)
             }
         }
@@ -102,7 +102,7 @@
         now: Ms,
         from: usize,
         round: Round,
-        conductor: &Coordinator,
+        coordinator: &Coordinator,
         guards: Guards,
     ) -> Vec<Say> {
         match round {
@@ -116,8 +116,8 @@
             }
             Round::Accept(key, ballot, value) => {
                 let promised = self.registers.entry(key).or_default().promised;
-                // An empty register that is read is written back empty.
-                let allowed = value.0 == 0 || self.allows(now, conductor, key, &value.1, guards);
+                // A read of an empty register writes it back empty.
+                let allowed = value.0 == 0 || self.allows(now, coordinator, key, &value.1, guards);
                 if ballot < promised || !allowed {
                     return vec![Say::To(from, Round::No(ballot, promised))];
                 }
@@ -165,7 +165,7 @@
         let (done, body) = match &run.change {
             Change::If(expected, body) => (*expected == stands.0, body.clone()),
             Change::File(order) => {
-                (follows(Order::decode(&stands.1).as_ref(), order, guards).is_ok(), order.encode())
+                (may_replace(Order::decode(&stands.1).as_ref(), order, guards).is_ok(), order.encode())
             }
         };
         let value = if done && body != stands.1 { (stands.0 + 1, body) } else { stands };
--- a/rollout/src/tests/lives.rs
+++ b/rollout/src/tests/member_life.rs
@@ -1,12 +1,12 @@
-//! What happens to one member: what it learns, how it goes and comes back, what its roster says.
+//! The life of one simulated member: what it learns, how it leaves and returns, and what its roster says.
 
+use super::checker::Truth;
 use super::council::{Key, Value};
-use super::judge::Truth;
-use super::world::*;
+use super::simulation::*;
 use crate::*;
 use std::collections::BTreeMap;
 
-impl World {
+impl Simulation {
     pub fn learn(&mut self, node: usize, key: Key, value: Value) {
         if self.nodes[node].known.get(&key).is_some_and(|it| it.0 >= value.0) {
             return;
@@ -15,31 +15,31 @@
         self.input(node, |it, now, _| it.tell(now, key, &value));
     }
 
-    /// Once more with a fresh clock; then it goes, or takes again.
-    pub fn stopped(&mut self, node: usize, going: &UsablePermit) {
+    /// Confirms the permit with a fresh clock: the member leaves, or takes viewings again.
+    pub fn stopped(&mut self, node: usize, permit_in_use: &UsablePermit) {
         self.nodes[node].leaving = false;
         let now = self.local(node);
-        if !self.nodes[node].holder.still_in_time(now, going) {
+        if !self.nodes[node].holder.confirm_leaving(now, permit_in_use) {
             return self.input(node, |_, _, _| {});
         }
-        self.input(node, |it, now, _| it.holder.whole(now, false));
+        self.input(node, |it, now, _| it.holder.set_ready(now, false));
         self.nodes[node].ready = false;
         self.look(Some(node));
         self.kill(node, false);
-        self.after(300.0, 1.5e3, node, Body::Start(going.version.clone()));
+        self.after(300.0, 1.5e3, node, Body::Start(permit_in_use.version.clone()));
         self.mishap(node);
     }
 
-    /// The judge looks; one may be going out by order.
+    /// Lets the checker inspect the fleet; `goes` is a member that leaves by order.
     pub fn look(&mut self, goes: Option<usize>) {
         let serves = |it: &Node| it.up && it.ready && it.paused_until <= self.now;
         let serves: Vec<bool> = self.nodes.iter().map(serves).collect();
         let truth = Truth { now: self.now, serves: &serves, councillors: self.councillors, cut: &self.cut };
-        self.judge.look(&truth);
-        goes.into_iter().for_each(|it| self.judge.goes(it, &truth));
+        self.checker.look(&truth);
+        goes.into_iter().for_each(|it| self.checker.goes(it, &truth));
     }
 
-    /// By accident: its supervisor starts the same version again.
+    /// Kills a member. After an accident its supervisor starts the same version again.
     pub fn kill(&mut self, node: usize, accident: bool) {
         self.look(None);
         let (version, up) = (self.nodes[node].version.clone(), self.nodes[node].up);
@@ -57,19 +57,19 @@
         let (now, guards, count) = (self.local(node), self.guards, self.councillors);
         let all: Vec<MemberId> = (0..count).map(id).collect();
         let it = &mut self.nodes[node];
-        (it.life, it.up, it.started, it.bell) =
+        (it.life, it.up, it.started, it.timer_at) =
             (InstanceId(it.life.0 + 1), true, self.now, Ms(f64::INFINITY));
         (it.version, it.known) = (version.clone(), BTreeMap::new());
-        it.holder = PermitHolder::guarded(now, (id(node), it.life), version.clone(), PERIOD, guards);
+        it.holder = PermitHolder::with_guards(now, (id(node), it.life), version.clone(), PERIOD, guards);
         if let Some(council) = &mut it.council {
             council.restart();
-            let mut conductor = Coordinator::guarded(now, id(node), &all, PERIOD, guards);
-            if let Some((revision, book)) =
+            let mut coordinator = Coordinator::with_guards(now, id(node), &all, PERIOD, guards);
+            if let Some((revision, table)) =
                 council.registers.get(&Key::PermitTable).and_then(|it| it.accepted.clone()).map(|it| it.1)
             {
-                conductor.accepted(now, revision, &PermitTable::decode(&book).unwrap_or_default());
+                coordinator.on_accepted(now, revision, &PermitTable::decode(&table).unwrap_or_default());
             }
-            it.conductor = Some(conductor);
+            it.coordinator = Some(coordinator);
         }
         let life = it.life;
         if self.bad.as_ref() != Some(&version) {
@@ -78,7 +78,7 @@
         self.mishap(node);
     }
 
-    /// Twice a second: news to some other, and what a councillor's roster says.
+    /// Twice a second: sends chosen values to a random member, and updates a councillor's roster.
     pub fn tick(&mut self, node: usize) {
         self.put(self.now + Ms(500.0), node, node, Body::Tick);
         if !self.nodes[node].up {
@@ -99,20 +99,24 @@
             let known = it.life == life || self.now - it.started > Ms(2e3 * self.chance.fraction());
             let last = if it.up && it.paused_until <= self.now && hears && known { self.now } else { last };
             let life = if last == self.now { it.life } else { life };
-            let error = self.chance.fraction() < self.ill.loss * 0.01;
+            let error = self.chance.fraction() < self.faults.loss * 0.01;
             self.nodes[node].heard[other] = (life, last);
             let state = if self.now - last < Ms(3e3) && !error { Presence::Alive } else { Presence::Suspect };
             if self.now - last < Ms(6e3) {
-                let seen =
-                    RosterEntry { life, name: name(&format!("m{other}")), zone: Some(zone(other)), state };
+                let seen = RosterEntry {
+                    life,
+                    name: name(&format!("m{other}")),
+                    zone: Some(zone(other)),
+                    presence: state,
+                };
                 living.insert(id(other), seen);
             }
         }
         let first = living.keys().next() == Some(&id(node));
         self.input(node, |it, now, _| {
-            let Some(conductor) = &mut it.conductor else { return };
-            conductor.roster(now, &living);
-            conductor.conducts(now, first);
+            let Some(coordinator) = &mut it.coordinator else { return };
+            coordinator.set_roster(now, &living);
+            coordinator.set_active(now, first);
         });
     }
 }
@@ -122,13 +126,13 @@
         match key {
             Key::Order => {
                 let order = Order::decode(body).unwrap();
-                self.holder.ordered(now, *revision, &order);
-                self.conductor.as_mut().into_iter().for_each(|it| it.ordered(now, *revision, &order));
+                self.holder.on_order(now, *revision, &order);
+                self.coordinator.as_mut().into_iter().for_each(|it| it.on_order(now, *revision, &order));
             }
             Key::PermitTable => {
-                let book = PermitTable::decode(body).unwrap();
-                self.holder.booked(now, *revision, &book);
-                self.conductor.as_mut().into_iter().for_each(|it| it.booked(now, *revision, &book));
+                let table = PermitTable::decode(body).unwrap();
+                self.holder.on_permits(now, *revision, &table);
+                self.coordinator.as_mut().into_iter().for_each(|it| it.on_permits(now, *revision, &table));
             }
         }
     }
--- a/rollout/src/tests/world.rs
+++ b/rollout/src/tests/simulation.rs
@@ -1,8 +1,9 @@
-//! A fleet in true time: clocks that run apart, messages lost, late, doubled or cut one way, processes killed
-//! or standing still, and the supervisor that starts the version ordered.
+//! A simulated fleet in true time: clocks that drift, messages that are lost, late, duplicated or cut in one direction,
+//! processes that are killed or paused, and the supervisor that starts the ordered version.
 
+use super::checker::Checker;
 use super::council::*;
-use super::judge::Judge;
+pub use super::faults::Faults;
 use crate::*;
 use ottersail_membership::rng::SeededRng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,27 +16,14 @@
     Round(Round),
     News(BTreeMap<Key, Value>),
     File(Order),
-    Bell,
+    Timer,
     Tick,
     Ready(InstanceId),
     Start(Name),
-    /// Nothing more is taken; the clock is looked at again.
+    /// The member takes no viewings any more; the permit is confirmed.
     Stopped(InstanceId, UsablePermit),
 }
 
-/// What goes wrong by chance; all 0 when well.
-#[derive(Clone, Copy, Default)]
-pub struct Ill {
-    pub loss: f64,
-    pub slow: f64,
-    pub twice: f64,
-    /// A holder killed, or standing still, at each point between permit and return.
-    pub killed: f64,
-    pub stopped: f64,
-    /// A proposal that one councillor alone hears of, while its proposer stands still for 10 s.
-    pub half: f64,
-}
-
 pub struct Node {
     pub rate: f64,
     pub offset: f64,
@@ -46,28 +34,28 @@
     pub paused_until: Ms,
     pub known: BTreeMap<Key, Value>,
     pub holder: PermitHolder,
-    pub conductor: Option<Coordinator>,
+    pub coordinator: Option<Coordinator>,
     pub council: Option<Councillor>,
-    /// Of each member, for councillors: its life and when it was heard of last.
+    /// For councillors: the instance of each member and when it was last heard of.
     pub heard: Vec<(InstanceId, Ms)>,
-    pub bell: Ms,
+    pub timer_at: Ms,
     pub leaving: bool,
     pub started: Ms,
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: Ms,
     pub nodes: Vec<Node>,
     pub councillors: usize,
     pub chance: SeededRng,
     pub cut: BTreeSet<(usize, usize)>,
-    pub ill: Ill,
+    pub faults: Faults,
     pub guards: Guards,
-    pub judge: Judge,
-    pub notes: Vec<(Ms, Event)>,
-    /// Never gets ready.
+    pub checker: Checker,
+    pub events: Vec<(Ms, Event)>,
+    /// A version that never gets ready.
     pub bad: Option<Name>,
-    /// How long a start takes until it is whole, at least and at most.
+    /// The least and greatest time in milliseconds from a start until the member is ready.
     pub start: (f64, f64),
     queue: BTreeMap<(Ms, u64), (usize, usize, Body)>,
     count: u64,
@@ -85,16 +73,22 @@
     name(["a", "b", "c"][node % 3])
 }
 
-impl World {
-    pub fn new(seed: u64, members: usize, councillors: usize, judge: Judge, guards: Guards) -> World {
+impl Simulation {
+    pub fn new(
+        seed: u64,
+        members: usize,
+        councillors: usize,
+        checker: Checker,
+        guards: Guards,
+    ) -> Simulation {
         let mut chance = SeededRng::new(seed);
         let all: Vec<MemberId> = (0..councillors).map(id).collect();
         let node = |it: usize| {
             let (rate, offset) = (0.99 + 0.02 * chance.fraction(), chance.fraction() * 1e6);
             let (life, version, now) = (InstanceId(it as u64 * 1_000 + 1), name("v1"), Ms(offset));
-            let holder = PermitHolder::guarded(now, (id(it), life), version.clone(), PERIOD, guards);
+            let holder = PermitHolder::with_guards(now, (id(it), life), version.clone(), PERIOD, guards);
             let conducts = it < councillors;
-            let conductor = conducts.then(|| Coordinator::guarded(now, id(it), &all, PERIOD, guards));
+            let coordinator = conducts.then(|| Coordinator::with_guards(now, id(it), &all, PERIOD, guards));
             let council = conducts.then(|| Councillor::new(it, councillors));
             let heard = (0..members).map(|it| (InstanceId(it as u64 * 1_000 + 1), Ms(0.0))).collect();
             Node {
@@ -107,36 +101,36 @@
                 paused_until: Ms(0.0),
                 known: BTreeMap::new(),
                 holder,
-                conductor,
+                coordinator,
                 council,
                 heard,
-                bell: Ms(f64::INFINITY),
+                timer_at: Ms(f64::INFINITY),
                 leaving: false,
                 started: Ms(0.0),
             }
         };
         let nodes: Vec<Node> = (0..members).map(node).collect();
-        let mut world = World {
+        let mut simulation = Simulation {
             now: Ms(0.0),
             nodes,
             councillors,
             chance,
             cut: BTreeSet::new(),
-            ill: Ill::default(),
+            faults: Faults::default(),
             guards,
-            judge,
-            notes: Vec::new(),
+            checker,
+            events: Vec::new(),
             bad: None,
             start: (1e3, 3e3),
             queue: BTreeMap::new(),
             count: 0,
         };
         for node in 0..members {
-            let first = Ms(world.chance.fraction() * 500.0);
-            world.put(first, node, node, Body::Tick);
-            world.input(node, |it, now, _| it.holder.whole(now, true));
+            let first = Ms(simulation.chance.fraction() * 500.0);
+            simulation.put(first, node, node, Body::Tick);
+            simulation.input(node, |it, now, _| it.holder.set_ready(now, true));
         }
-        world
+        simulation
     }
 
     pub fn put(&mut self, at: Ms, from: usize, to: usize, body: Body) {
@@ -150,12 +144,12 @@
     }
 
     pub fn send(&mut self, from: usize, to: usize, body: &Body) {
-        let copies = if self.chance.fraction() < self.ill.twice { 2 } else { 1 };
+        let copies = if self.chance.fraction() < self.faults.twice { 2 } else { 1 };
         for _ in 0..copies {
-            if from != to && (self.cut.contains(&(from, to)) || self.chance.fraction() < self.ill.loss) {
+            if from != to && (self.cut.contains(&(from, to)) || self.chance.fraction() < self.faults.loss) {
                 continue;
             }
-            let slow = self.chance.fraction() < self.ill.slow;
+            let slow = self.chance.fraction() < self.faults.slow;
             let delay = self.chance.fraction() * if slow { 8e3 } else { 10.0 } + 1.0;
             self.put(self.now + Ms(delay), from, to, body.clone());
         }
@@ -166,7 +160,7 @@
         Ms(it.offset + self.now.0 * it.rate)
     }
 
-    /// All that happens up to then.
+    /// Runs the simulation up to that time.
     pub fn run(&mut self, until: Ms) {
         while let Some(((at, _), (from, to, body))) = self.queue.pop_first() {
             if at > until {
@@ -191,26 +185,28 @@
 
     fn take(&mut self, from: usize, to: usize, body: Body) {
         match body {
-            Body::Bell => {
-                self.nodes[to].bell = Ms(f64::INFINITY);
+            Body::Timer => {
+                self.nodes[to].timer_at = Ms(f64::INFINITY);
                 self.input(to, |it, now, out| {
-                    it.holder.bell(now, out);
-                    it.conductor.as_mut().into_iter().for_each(|it| it.bell(now, out));
+                    it.holder.on_timer(now, out);
+                    it.coordinator.as_mut().into_iter().for_each(|it| it.on_timer(now, out));
                 });
             }
-            Body::MemberStatus(life, stand) => self.input(to, |it, now, _| {
-                it.conductor.as_mut().into_iter().for_each(|it| it.stand(now, id(from), life, &stand));
+            Body::MemberStatus(life, status) => self.input(to, |it, now, _| {
+                it.coordinator.as_mut().into_iter().for_each(|it| it.on_status(now, id(from), life, &status));
             }),
             Body::News(values) => {
                 values.into_iter().for_each(|(key, value)| self.learn(to, key, value));
             }
             Body::Ready(life) if self.nodes[to].life == life => {
                 self.nodes[to].ready = true;
-                self.judge.back(to);
-                self.input(to, |it, now, _| it.holder.whole(now, true));
+                self.checker.back(to);
+                self.input(to, |it, now, _| it.holder.set_ready(now, true));
                 self.mishap(to);
             }
-            Body::Stopped(life, going) if self.nodes[to].life == life => self.stopped(to, &going),
+            Body::Stopped(life, permit_in_use) if self.nodes[to].life == life => {
+                self.stopped(to, &permit_in_use)
+            }
             Body::File(order) => {
                 let now = self.local(to);
                 let says =
@@ -230,14 +226,14 @@
             None
         };
         let it = &mut self.nodes[to];
-        let (Some(council), Some(conductor)) = (&mut it.council, &mut it.conductor) else { return };
-        let says = council.round(now, from, round, conductor, guards);
+        let (Some(council), Some(coordinator)) = (&mut it.council, &mut it.coordinator) else { return };
+        let says = council.round(now, from, round, coordinator, guards);
         let accepted = matches!(says.first(), Some(Say::To(_, Round::Accepted(_))));
         if let Some((Key::PermitTable, _, value)) = what.as_ref().filter(|_| accepted) {
-            conductor.accepted(now, value.0, &PermitTable::decode(&value.1).unwrap_or_default());
+            coordinator.on_accepted(now, value.0, &PermitTable::decode(&value.1).unwrap_or_default());
         }
         if let Some((Key::Order, ballot, value)) = what.filter(|_| accepted) {
-            self.judge.accepted(self.now, to, ballot, &value, self.councillors);
+            self.checker.accepted(self.now, to, ballot, &value, self.councillors);
         }
         self.say(to, says);
     }
