--- a/bench/src/scale/rest.rs
+++ b/bench/src/scale/rest.rs
@@ -1,7 +1,7 @@
 //! What members cost that have nothing to do.
 
 use super::cluster::{Cluster, Node};
-use ottersail_fault_injection::cost;
+use ottersail_fault_injection::resource_usage;
 use std::time::{Duration, Instant};
 
 /// Of IPv4 and UDP, for each datagram.
@@ -35,7 +35,7 @@
 }
 
 fn cpu(nodes: &[&Node]) -> Vec<(Instant, f64)> {
-    nodes.iter().map(|it| (Instant::now(), cost(it.id()).unwrap_or_default().cpu)).collect()
+    nodes.iter().map(|it| (Instant::now(), resource_usage(it.id()).unwrap_or_default().cpu_ms)).collect()
 }
 
 impl Look {
@@ -68,7 +68,7 @@
     let own = plain_before.iter().zip(&plain_after);
     let own: Vec<f64> = own.map(|(a, b)| (b.1 - a.1) / 10.0 / (b.0 - a.0).as_secs_f64()).collect();
     let memory = |nodes: &[&Node]| -> Vec<f64> {
-        nodes.iter().filter_map(|it| Some(cost(it.id())?.memory_kb / 1e3)).collect()
+        nodes.iter().filter_map(|it| Some(resource_usage(it.id())?.memory_kb / 1e3)).collect()
     };
     println!("at rest, {seconds} s (least, median, 99th of 100, greatest):");
     println!(
--- a/daemon/src/rehearse/gossip.rs
+++ b/daemon/src/rehearse/gossip.rs
@@ -4,7 +4,7 @@
 use super::error::RehearseError;
 use crate::settings::day::DayPlan;
 use ottersail_fake_servers::{Fault, Recorder, Ways};
-use ottersail_fault_injection::{Condition, Exchange};
+use ottersail_fault_injection::{DatagramRelay, NetworkCondition};
 use ottersail_invariants::Event;
 use ottersail_net::{block_on, executor, Timer};
 use std::collections::BTreeSet;
@@ -22,14 +22,14 @@
 /// A fault on wires between members, and the managers that it takes.
 struct Hit {
     fault: Fault,
-    condition: Condition,
+    condition: NetworkCondition,
     managers: BTreeSet<usize>,
 }
 
 impl Hit {
     /// What it makes of the way from one to another. `there` is what those that are hit send, `back` what is
     /// sent to them.
-    fn on(&self, from: usize, to: usize) -> Condition {
+    fn on(&self, from: usize, to: usize) -> NetworkCondition {
         let (there, back) = (self.managers.contains(&from), self.managers.contains(&to));
         let hit = match self.fault.ways {
             Ways::Both => there || back,
@@ -39,7 +39,7 @@
         if hit {
             self.condition
         } else {
-            Condition::default()
+            NetworkCondition::default()
         }
     }
 }
@@ -75,7 +75,7 @@
             let exec = executor();
             block_on(exec.run(async {
                 let count = members.len();
-                let started = Exchange::start(exec, members, seed).and_then(|it| {
+                let started = DatagramRelay::start(exec, members, seed).and_then(|it| {
                     let there = (0..count).map(|ix| it.address(ix)).collect::<Result<Vec<_>, _>>()?;
                     Ok((it, there))
                 });
@@ -115,7 +115,7 @@
 }
 
 /// Sets all ways anew wherever a fault begins or ends.
-async fn play(hits: &[Hit], count: usize, exchange: &Exchange, recorder: &Recorder, began: Instant) {
+async fn play(hits: &[Hit], count: usize, exchange: &DatagramRelay, recorder: &Recorder, began: Instant) {
     let mut moments: Vec<(f64, usize, bool)> = hits
         .iter()
         .enumerate()
@@ -132,7 +132,11 @@
         }
         for (from, to) in (0..count).flat_map(|from| (0..count).map(move |to| (from, to))) {
             let all = now_on.iter().map(|it| hits[*it].on(from, to));
-            exchange.set(from, to, all.fold(Condition::default(), Condition::and));
+            exchange.set_condition(
+                from,
+                to,
+                all.fold(NetworkCondition::default(), NetworkCondition::combine),
+            );
         }
         let what = format!("datagrams of {} managers", hits[ix].managers.len());
         recorder.note(Event::Fault { name: hits[ix].fault.name.clone(), on, what });
--- a/daemon/src/rehearse/play.rs
+++ b/daemon/src/rehearse/play.rs
@@ -14,7 +14,7 @@
 use ottersail::ids::ManagerIndex;
 use ottersail::time::Ms;
 use ottersail_fake_servers::{run_fleet, run_players, Crowd, FaultKind, Recorder};
-use ottersail_fault_injection::cost;
+use ottersail_fault_injection::resource_usage;
 use ottersail_invariants::{Event, Verdict};
 use ottersail_net::Clock;
 use ottersail_signed_urls::Keys;
@@ -94,7 +94,7 @@
     let played = managers.iter().try_for_each(|it| wait_ready(it.address, START, interrupted)).map(|()| {
         managers.iter().for_each(|it| recorder.note(Event::ManagerReady { manager: it.number }));
         rest(plan, &managers, &recorder, interrupted);
-        let costs = managers.iter().map(|it| cost(it.child.id())).collect::<Vec<_>>();
+        let costs = managers.iter().map(|it| resource_usage(it.child.id())).collect::<Vec<_>>();
         let began = clock.now() + 200.0;
         _ = go.send_blocking(began);
         let over = Arc::new(AtomicBool::new(false));
--- a/daemon/src/rehearse/steps.rs
+++ b/daemon/src/rehearse/steps.rs
@@ -33,7 +33,7 @@
         });
         ending.retain(|(manager, told)| {
             let it = &mut managers[*manager];
-            match it.child.ended() {
+            match it.child.exit_status() {
                 Some(status) if !status.success() => {
                     it.unclean = Some(UncleanExit::Failed { manager: *manager, status });
                 }
--- a/daemon/src/trial/manager.rs
+++ b/daemon/src/trial/manager.rs
@@ -1,6 +1,6 @@
 //! A session manager as a process: its configuration file, its log, its signals.
 
-use ottersail_fault_injection::{cost, Cost, Process, Trouble};
+use ottersail_fault_injection::{resource_usage, FaultInjectionError, Process, ResourceUsage};
 use rustix::process::Signal;
 use serde_json::Value;
 use std::fs::File;
@@ -37,11 +37,11 @@
 }
 
 impl LaunchOptions {
-    fn failed(&self, cause: io::Error) -> Trouble {
-        Trouble::NotStarted { program: self.program.display().to_string(), cause }
+    fn failed(&self, cause: io::Error) -> FaultInjectionError {
+        FaultInjectionError::NotStarted { program: self.program.display().to_string(), cause }
     }
 
-    fn spawn(&self) -> Result<Process, Trouble> {
+    fn spawn(&self) -> Result<Process, FaultInjectionError> {
         let log = File::options().create(true).append(true).open(self.folder.join(LOG));
         let log = log.map_err(|cause| self.failed(cause))?;
         let mut command = Command::new("sh");
@@ -68,7 +68,7 @@
         number: usize,
         address: SocketAddr,
         config: &Value,
-    ) -> Result<ManagerProcess, Trouble> {
+    ) -> Result<ManagerProcess, FaultInjectionError> {
         let launch = LaunchOptions { folder: launch.folder.join(format!("n{number}")), ..launch.clone() };
         let written = std::fs::create_dir_all(&launch.folder)
             .and_then(|()| std::fs::write(launch.folder.join(CONFIG), config.to_string()));
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     /// As of [`ManagerProcess::start`].
-    pub fn restart(&mut self) -> Result<(), Trouble> {
+    pub fn restart(&mut self) -> Result<(), FaultInjectionError> {
         self.process.kill();
         self.process = self.launch.spawn()?;
         Ok(())
@@ -100,7 +100,7 @@
     /// Whether it passes a test within that time.
     pub fn wait_ready(&mut self, limit: Duration) -> bool {
         let began = Instant::now();
-        while began.elapsed() < limit && self.process.ended().is_none() {
+        while began.elapsed() < limit && self.process.exit_status().is_none() {
             if passes_test(self.address) {
                 return true;
             }
@@ -124,11 +124,11 @@
 
     /// How it ended, if it has: its exit code, `None` for a signal.
     pub fn exit_code(&mut self) -> Option<Option<i32>> {
-        self.process.ended().map(|status| status.code())
+        self.process.exit_status().map(|status| status.code())
     }
 
-    pub fn cost(&self) -> Option<Cost> {
-        cost(self.process.id())
+    pub fn cost(&self) -> Option<ResourceUsage> {
+        resource_usage(self.process.id())
     }
 
     /// Descriptors that it holds now.
--- a/daemon/tests/members/cluster.rs
+++ b/daemon/tests/members/cluster.rs
@@ -5,7 +5,7 @@
 
 use crate::peer::{folder, settings, well, within, Peer};
 pub use node::Node;
-use ottersail_fault_injection::{Condition, Exchange};
+use ottersail_fault_injection::{DatagramRelay, NetworkCondition};
 use ottersail_net::{block_on, executor};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
@@ -13,14 +13,20 @@
 use std::time::{Duration, Instant};
 
 pub const KEYS: &str = "a AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA\n";
-pub const CUT: Condition =
-    Condition { cut: true, reset: false, slow: 0.0, thin: 0.0, double: 0.0, reorder: 0.0 };
-
-pub fn loss(part: f64) -> Condition {
-    Condition { thin: part, ..Condition::default() }
+pub const CUT: NetworkCondition = NetworkCondition {
+    cut: true,
+    reset: false,
+    delay_ms: 0.0,
+    loss_rate: 0.0,
+    duplicate_rate: 0.0,
+    reorder_rate: 0.0,
+};
+
+pub fn loss(part: f64) -> NetworkCondition {
+    NetworkCondition { loss_rate: part, ..NetworkCondition::default() }
 }
 
-type Turn = Box<dyn FnOnce(&Exchange) + Send>;
+type Turn = Box<dyn FnOnce(&DatagramRelay) + Send>;
 
 /// All of them, and the exchange on a thread of its own.
 pub struct Cluster {
@@ -60,7 +66,7 @@
         std::thread::spawn(move || {
             let exec = executor();
             block_on(exec.run(async {
-                let exchange = Exchange::start(exec, members.clone(), 7).unwrap();
+                let exchange = DatagramRelay::start(exec, members.clone(), 7).unwrap();
                 let there: Vec<_> = (0..members.len()).map(|it| exchange.address(it).unwrap()).collect();
                 _ = tell.send(there).await;
                 while let Ok(turn) = asked.recv().await {
@@ -104,11 +110,11 @@
         it
     }
 
-    pub fn set(&self, from: usize, to: usize, condition: Condition) {
-        _ = self.turns.send_blocking(Box::new(move |it| it.set(from, to, condition)));
+    pub fn set(&self, from: usize, to: usize, condition: NetworkCondition) {
+        _ = self.turns.send_blocking(Box::new(move |it| it.set_condition(from, to, condition)));
     }
 
-    pub fn set_all(&self, condition: Condition) {
+    pub fn set_all(&self, condition: NetworkCondition) {
         for (from, to) in pairs(self.nodes.len()) {
             self.set(from, to, condition);
         }
--- a/daemon/tests/members/flood.rs
+++ b/daemon/tests/members/flood.rs
@@ -2,7 +2,7 @@
 
 use crate::cluster::Cluster;
 use crate::peer::get;
-use ottersail_fault_injection::cost;
+use ottersail_fault_injection::resource_usage;
 use ottersail_membership::auth::DatagramAuth;
 use ottersail_membership::{Body, Incarnation, InstanceId, MemberId, Message};
 use ottersail_signed_urls::Keys;
@@ -57,7 +57,7 @@
 fn a_flood_starves_no_viewers_and_leaves_nothing_behind() {
     let all = Cluster::met(3, 500);
     let node = &all.nodes[0];
-    let memory = || cost(node.child.as_ref().unwrap().id()).unwrap().memory_kb;
+    let memory = || resource_usage(node.child.as_ref().unwrap().id()).unwrap().memory_kb;
     let quiet = p99(node.http);
     let (udp, http) = (node.udp, node.http);
     let flooding = std::thread::spawn(move || flood(udp));
--- a/daemon/tests/releases/field.rs
+++ b/daemon/tests/releases/field.rs
@@ -85,7 +85,7 @@
     pub fn look(&mut self) {
         for ix in 0..self.all.nodes.len() {
             let node = &mut self.all.nodes[ix];
-            let ended = node.child.as_mut().and_then(|it| it.ended());
+            let ended = node.child.as_mut().and_then(|it| it.exit_status());
             if let Some(status) = ended {
                 node.child = None;
                 assert_eq!(status.code(), Some(RELEASED), "{} ended by itself: {}", node.name, node.log());
--- a/fake-servers/src/day.rs
+++ b/fake-servers/src/day.rs
@@ -1,6 +1,6 @@
 //! A day: the fleet, the viewers, and what goes wrong.
 
-use ottersail_fault_injection::Condition;
+use ottersail_fault_injection::NetworkCondition;
 
 /// All that the stand-ins need to know of a day. Times in milliseconds unless told otherwise, rates in kB a
 /// second.
@@ -185,24 +185,24 @@
 
 impl Fault {
     /// What it makes of a wire, if it is one of wires.
-    pub fn condition(&self) -> Option<Condition> {
-        let whole = Condition::default();
+    pub fn condition(&self) -> Option<NetworkCondition> {
+        let whole = NetworkCondition::default();
         match self.kind {
-            FaultKind::WireCut => Some(Condition { cut: true, ..whole }),
-            FaultKind::WireReset => Some(Condition { reset: true, ..whole }),
-            FaultKind::WireSlow => Some(Condition { slow: self.size, ..whole }),
-            FaultKind::WireThin => Some(Condition { thin: self.size.min(1.0), ..whole }),
+            FaultKind::WireCut => Some(NetworkCondition { cut: true, ..whole }),
+            FaultKind::WireReset => Some(NetworkCondition { reset: true, ..whole }),
+            FaultKind::WireSlow => Some(NetworkCondition { delay_ms: self.size, ..whole }),
+            FaultKind::WireThin => Some(NetworkCondition { loss_rate: self.size.min(1.0), ..whole }),
             _ => None,
         }
     }
 
     /// What it makes of the ways between managers as members, if it is one of them.
-    pub fn gossip(&self) -> Option<Condition> {
-        let whole = Condition::default();
+    pub fn gossip(&self) -> Option<NetworkCondition> {
+        let whole = NetworkCondition::default();
         match self.kind {
-            FaultKind::GossipLoss => Some(Condition { thin: self.size.min(1.0), ..whole }),
-            FaultKind::GossipCut => Some(Condition { cut: true, ..whole }),
-            FaultKind::GossipSlow => Some(Condition { slow: self.size, ..whole }),
+            FaultKind::GossipLoss => Some(NetworkCondition { loss_rate: self.size.min(1.0), ..whole }),
+            FaultKind::GossipCut => Some(NetworkCondition { cut: true, ..whole }),
+            FaultKind::GossipSlow => Some(NetworkCondition { delay_ms: self.size, ..whole }),
             _ => None,
         }
     }
--- a/fake-servers/src/wires.rs
+++ b/fake-servers/src/wires.rs
@@ -2,7 +2,7 @@
 //! drawn from the seed before the day begins; only these have relays, all others are called directly.
 
 use crate::day::{Day, Fault, Ways};
-use ottersail_fault_injection::{Condition, Relay, Way};
+use ottersail_fault_injection::{Direction, NetworkCondition, Relay};
 use ottersail_net::Executor;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
     managers: BTreeSet<usize>,
     fars: BTreeSet<Far>,
     ways: Ways,
-    condition: Condition,
+    condition: NetworkCondition,
     on: bool,
 }
 
@@ -124,13 +124,24 @@
 
     fn refresh(&self, manager: usize, far: Far) {
         let here = |it: &&Hit| it.on && it.takes(manager, far);
-        for way in [Way::There, Way::Back] {
+        for way in [Direction::Forward, Direction::Reverse] {
             let both = |it: &Hit| match (it.ways, way) {
-                (Ways::Both, _) | (Ways::There, Way::There) | (Ways::Back, Way::Back) => it.condition,
-                _ => Condition::default(),
+                (Ways::Both, _) | (Ways::There, Direction::Forward) | (Ways::Back, Direction::Reverse) => {
+                    it.condition
+                }
+                _ => NetworkCondition::default(),
             };
-            let all = self.hits.values().filter(here).map(both).fold(Condition::default(), Condition::and);
-            self.relays.get(&(manager, far)).into_iter().flatten().for_each(|it| it.1.set(way, all));
+            let all = self
+                .hits
+                .values()
+                .filter(here)
+                .map(both)
+                .fold(NetworkCondition::default(), NetworkCondition::combine);
+            self.relays
+                .get(&(manager, far))
+                .into_iter()
+                .flatten()
+                .for_each(|it| it.1.set_condition(way, all));
         }
     }
 }
@@ -164,7 +175,7 @@
             managers: [1].into(),
             fars: [Far::Cell(7)].into(),
             ways: Ways::There,
-            condition: Condition { slow: 5.0, ..Condition::default() },
+            condition: NetworkCondition { delay_ms: 5.0, ..NetworkCondition::default() },
             on: false,
         };
         let mut wires = Wires {
--- a/fault-injection/src/exchange.rs
+++ b/fault-injection/src/datagram_relay.rs
@@ -1,8 +1,8 @@
 //! Wires for the datagrams between members of a group. Each member is known to the others by an address here;
 //! what comes to it is sent on from the address of who sent it, so that answers take the same way.
 
-use crate::trouble::Trouble;
-use crate::wire::{Condition, Wire};
+use crate::error::FaultInjectionError;
+use crate::impairment::{ImpairedLink, NetworkCondition};
 use ottersail_net::{Datagrams, Executor, TaskGroup, Timer};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 const LARGEST: usize = 2_048;
 const MOST_HELD: usize = 65_536;
 
-pub struct Exchange {
+pub struct DatagramRelay {
     inner: Rc<Inner>,
     /// Dropping it closes everything.
     _tasks: TaskGroup,
@@ -26,19 +26,23 @@
     sockets: Vec<Datagrams>,
     members: Vec<SocketAddr>,
     numbers: BTreeMap<SocketAddr, usize>,
-    wires: RefCell<BTreeMap<(usize, usize), Wire>>,
+    wires: RefCell<BTreeMap<(usize, usize), ImpairedLink>>,
     held: Cell<usize>,
-    strange: Cell<u64>,
+    unknown_senders: Cell<u64>,
     delayed: TaskGroup,
 }
 
-impl Exchange {
+impl DatagramRelay {
     /// Wires between all members, who send from where they listen.
     ///
     /// # Errors
     /// If no addresses can be had on loopback.
-    pub fn start(exec: Executor, members: Vec<SocketAddr>, seed: u64) -> Result<Exchange, Trouble> {
-        let no_address = Trouble::no_address("an exchange");
+    pub fn start(
+        exec: Executor,
+        members: Vec<SocketAddr>,
+        seed: u64,
+    ) -> Result<DatagramRelay, FaultInjectionError> {
+        let no_address = FaultInjectionError::no_address("an exchange");
         let socket = |_: &SocketAddr| Datagrams::bind((Ipv4Addr::LOCALHOST, 0).into());
         let sockets = members.iter().map(socket).collect::<Result<Vec<_>, _>>().map_err(no_address)?;
         let inner = Rc::new(Inner {
@@ -49,7 +53,7 @@
             members,
             wires: RefCell::default(),
             held: Cell::new(0),
-            strange: Cell::new(0),
+            unknown_senders: Cell::new(0),
             delayed: TaskGroup::new(exec),
         });
         let tasks = TaskGroup::new(exec);
@@ -57,34 +61,34 @@
             let inner = inner.clone();
             tasks.spawn(async move { carry(&inner, to).await });
         }
-        Ok(Exchange { inner, _tasks: tasks })
+        Ok(DatagramRelay { inner, _tasks: tasks })
     }
 
     /// Where the others find a member.
     ///
     /// # Errors
     /// If there is no such member, or the system can't tell.
-    pub fn address(&self, member: usize) -> Result<SocketAddr, Trouble> {
+    pub fn address(&self, member: usize) -> Result<SocketAddr, FaultInjectionError> {
         let none = || std::io::ErrorKind::NotFound.into();
         let told = self.inner.sockets.get(member).ok_or_else(none).and_then(|it| it.get_ref().local_addr());
-        told.map_err(|cause| Trouble::Unknown { member, cause })
+        told.map_err(|cause| FaultInjectionError::MemberAddress { member, cause })
     }
 
     /// How what one member sends to another is carried from now on.
-    pub fn set(&self, from: usize, to: usize, condition: Condition) {
+    pub fn set_condition(&self, from: usize, to: usize, condition: NetworkCondition) {
         self.inner.with_wire(from, to, |it| it.set(condition));
     }
 
     /// Datagrams of nobody known, which went no further.
-    pub fn strange(&self) -> u64 {
-        self.inner.strange.get()
+    pub fn unknown_senders(&self) -> u64 {
+        self.inner.unknown_senders.get()
     }
 }
 
 impl Inner {
-    fn with_wire<T>(&self, from: usize, to: usize, what: impl FnOnce(&mut Wire) -> T) -> T {
+    fn with_wire<T>(&self, from: usize, to: usize, what: impl FnOnce(&mut ImpairedLink) -> T) -> T {
         let seed = self.seed.wrapping_mul(1_000_003) + (from * 4_099 + to) as u64;
-        what(self.wires.borrow_mut().entry((from, to)).or_insert_with(|| Wire::new(seed)))
+        what(self.wires.borrow_mut().entry((from, to)).or_insert_with(|| ImpairedLink::new(seed)))
     }
 }
 
@@ -96,7 +100,7 @@
             continue;
         };
         let Some(from) = inner.numbers.get(&source).copied() else {
-            inner.strange.set(inner.strange.get() + 1);
+            inner.unknown_senders.set(inner.unknown_senders.get() + 1);
             continue;
         };
         let now = inner.began.elapsed().as_secs_f64() * 1e3;
@@ -128,7 +132,7 @@
             let member = || Datagrams::bind((Ipv4Addr::LOCALHOST, 0).into()).unwrap();
             let (a, b) = (member(), member());
             let addresses = [&a, &b].map(|it| it.get_ref().local_addr().unwrap());
-            let exchange = Exchange::start(exec, addresses.to_vec(), 3).unwrap();
+            let exchange = DatagramRelay::start(exec, addresses.to_vec(), 3).unwrap();
             let (a_there, b_there) = (exchange.address(0).unwrap(), exchange.address(1).unwrap());
             let hear = |at: &'static str, it: &Datagrams| {
                 let mut bytes = [0; 64];
@@ -160,12 +164,16 @@
             );
             b.send(b"pong", a_there);
             assert_eq!(hear("a", &a).await.unwrap().0, "pong");
-            exchange.set(0, 1, Condition { cut: true, ..Condition::default() });
+            exchange.set_condition(0, 1, NetworkCondition { cut: true, ..NetworkCondition::default() });
             a.send(b"ping", b_there);
             assert_eq!(hear("b", &b).await, None);
             b.send(b"pong", a_there);
             assert_eq!(hear("a", &a).await.unwrap().0, "pong", "the other way is whole");
-            exchange.set(0, 1, Condition { slow: 30.0, double: 1.0, ..Condition::default() });
+            exchange.set_condition(
+                0,
+                1,
+                NetworkCondition { delay_ms: 30.0, duplicate_rate: 1.0, ..NetworkCondition::default() },
+            );
             let began = Instant::now();
             a.send(b"slow", b_there);
             assert_eq!(hear("b", &b).await.unwrap().0, "slow");
@@ -173,7 +181,7 @@
             assert_eq!(hear("b", &b).await.unwrap().0, "slow", "it comes twice");
             member().send(b"who", b_there);
             assert_eq!(hear("b", &b).await, None);
-            assert_eq!(exchange.strange(), 1);
+            assert_eq!(exchange.unknown_senders(), 1);
         }));
     }
 }
--- a/fault-injection/src/trouble.rs
+++ b/fault-injection/src/error.rs
@@ -4,7 +4,7 @@
 use thiserror::Error;
 
 #[derive(Debug, Error)]
-pub enum Trouble {
+pub enum FaultInjectionError {
     /// Nothing can be bound.
     #[error(
         "{what}: no address on 127.0.0.1: {cause}; see `ulimit -n` and which ports are taken (`ss -tlnu`)"
@@ -16,7 +16,7 @@
     },
     /// A member's socket has no address.
     #[error("exchange: no address of member {member}: {cause}; name one of the members it was started with")]
-    Unknown {
+    MemberAddress {
         member: usize,
         #[source]
         cause: io::Error,
@@ -30,9 +30,9 @@
     },
 }
 
-impl Trouble {
-    pub(crate) fn no_address(what: &'static str) -> impl Fn(io::Error) -> Trouble + Copy {
-        move |cause| Trouble::NoAddress { what, cause }
+impl FaultInjectionError {
+    pub(crate) fn no_address(what: &'static str) -> impl Fn(io::Error) -> FaultInjectionError + Copy {
+        move |cause| FaultInjectionError::NoAddress { what, cause }
     }
 }
 
@@ -43,13 +43,13 @@
     use std::process::Command;
     use test_case::test_case;
 
-    #[test_case(Trouble::no_address("a relay")(io::ErrorKind::AddrInUse.into()), "a relay: no address",
+    #[test_case(FaultInjectionError::no_address("a relay")(io::ErrorKind::AddrInUse.into()), "a relay: no address",
         "ulimit -n"; "no address")]
-    #[test_case(Trouble::Unknown { member: 3, cause: io::ErrorKind::NotFound.into() },
+    #[test_case(FaultInjectionError::MemberAddress { member: 3, cause: io::ErrorKind::NotFound.into() },
         "exchange: no address of member 3", "one of the members"; "no such member")]
     #[test_case(Process::start(&mut Command::new("./no-such")).err().unwrap(), "./no-such: not started",
         "may be run"; "no program")]
-    fn each_says_where_and_what_to_try(trouble: Trouble, place: &str, advice: &str) {
+    fn each_says_where_and_what_to_try(trouble: FaultInjectionError, place: &str, advice: &str) {
         let text = trouble.to_string();
         assert!(text.starts_with(place), "{text}");
         assert!(text.split_once("; ").is_some_and(|it| it.1.contains(advice)), "{text}");
--- a/fault-injection/src/wire.rs
+++ b/fault-injection/src/impairment.rs
@@ -3,40 +3,40 @@
 
 /// A direction, as seen by who calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Way {
-    There,
-    Back,
+pub enum Direction {
+    Forward,
+    Reverse,
 }
 
 /// How one direction of a wire is.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Condition {
+pub struct NetworkCondition {
     /// Nothing comes through; what is on its way waits, as TCP would send it again, or is lost, if it is a
     /// datagram.
     pub cut: bool,
     /// Connections are reset, those that come anew as well.
     pub reset: bool,
     /// All comes so much later, in milliseconds.
-    pub slow: f64,
+    pub delay_ms: f64,
     /// Part of the datagrams that is lost. Of a connection's pieces that part comes late, since it is sent
     /// again.
-    pub thin: f64,
+    pub loss_rate: f64,
     /// Part of the datagrams that comes twice.
-    pub double: f64,
+    pub duplicate_rate: f64,
     /// Part of the datagrams that is overtaken by later ones.
-    pub reorder: f64,
+    pub reorder_rate: f64,
 }
 
-impl Condition {
+impl NetworkCondition {
     /// Both at once.
-    pub fn and(self, other: Condition) -> Condition {
-        Condition {
+    pub fn combine(self, other: NetworkCondition) -> NetworkCondition {
+        NetworkCondition {
             cut: self.cut || other.cut,
             reset: self.reset || other.reset,
-            slow: self.slow + other.slow,
-            thin: 1.0 - (1.0 - self.thin) * (1.0 - other.thin),
-            double: self.double.max(other.double),
-            reorder: self.reorder.max(other.reorder),
+            delay_ms: self.delay_ms + other.delay_ms,
+            loss_rate: 1.0 - (1.0 - self.loss_rate) * (1.0 - other.loss_rate),
+            duplicate_rate: self.duplicate_rate.max(other.duplicate_rate),
+            reorder_rate: self.reorder_rate.max(other.reorder_rate),
         }
     }
 }
@@ -50,33 +50,37 @@
 const OVERTAKEN: f64 = 60.0;
 
 /// One direction of a wire.
-pub struct Wire {
+pub struct ImpairedLink {
     rng: fastrand::Rng,
-    condition: Condition,
+    condition: NetworkCondition,
     /// When the last piece of a connection was through.
     last: f64,
 }
 
-impl Wire {
-    pub fn new(seed: u64) -> Wire {
-        Wire { rng: fastrand::Rng::with_seed(seed), condition: Condition::default(), last: f64::MIN }
+impl ImpairedLink {
+    pub fn new(seed: u64) -> ImpairedLink {
+        ImpairedLink {
+            rng: fastrand::Rng::with_seed(seed),
+            condition: NetworkCondition::default(),
+            last: f64::MIN,
+        }
     }
 
-    pub fn condition(&self) -> Condition {
+    pub fn condition(&self) -> NetworkCondition {
         self.condition
     }
 
-    pub fn set(&mut self, condition: Condition) {
+    pub fn set(&mut self, condition: NetworkCondition) {
         self.condition = condition;
     }
 
     /// When a connection's piece that comes now is through, never before one that came earlier; and whether
     /// it is lost at first and has to be sent again.
     pub fn piece(&mut self, now: f64) -> (f64, bool) {
-        let mut due = now + self.condition.slow;
+        let mut due = now + self.condition.delay_ms;
         let mut again = SENT_AGAIN;
         for _ in 0..MOST_LOSSES {
-            if self.rng.f64() >= self.condition.thin {
+            if self.rng.f64() >= self.condition.loss_rate {
                 break;
             }
             due += again;
@@ -88,15 +92,15 @@
 
     /// When the copies of a datagram that comes now are through; none if it is lost.
     pub fn datagram(&mut self, now: f64) -> Vec<f64> {
-        if self.condition.cut || self.rng.f64() < self.condition.thin {
+        if self.condition.cut || self.rng.f64() < self.condition.loss_rate {
             return Vec::new();
         }
         let through = |rng: &mut fastrand::Rng| {
-            let overtaken = rng.f64() < self.condition.reorder;
-            now + self.condition.slow + if overtaken { rng.f64() * OVERTAKEN } else { 0.0 }
+            let overtaken = rng.f64() < self.condition.reorder_rate;
+            now + self.condition.delay_ms + if overtaken { rng.f64() * OVERTAKEN } else { 0.0 }
         };
         let mut copies = vec![through(&mut self.rng)];
-        if self.rng.f64() < self.condition.double {
+        if self.rng.f64() < self.condition.duplicate_rate {
             copies.push(through(&mut self.rng));
         }
         copies
@@ -108,20 +112,26 @@
     use super::*;
     use test_case::test_case;
 
-    const CUT: Condition =
-        Condition { cut: true, reset: false, slow: 0.0, thin: 0.0, double: 0.0, reorder: 0.0 };
-
-    fn wire(condition: Condition) -> Wire {
-        let mut wire = Wire::new(7);
+    const CUT: NetworkCondition = NetworkCondition {
+        cut: true,
+        reset: false,
+        delay_ms: 0.0,
+        loss_rate: 0.0,
+        duplicate_rate: 0.0,
+        reorder_rate: 0.0,
+    };
+
+    fn wire(condition: NetworkCondition) -> ImpairedLink {
+        let mut wire = ImpairedLink::new(7);
         wire.set(condition);
         wire
     }
 
-    #[test_case(Condition::default(), 1000..=1000; "a whole wire")]
+    #[test_case(NetworkCondition::default(), 1000..=1000; "a whole wire")]
     #[test_case(CUT, 0..=0; "a cut one")]
-    #[test_case(Condition { thin: 0.2, ..Condition::default() }, 750..=850; "one that loses a fifth")]
-    #[test_case(Condition { double: 0.5, ..Condition::default() }, 1450..=1550; "one that doubles half")]
-    fn datagrams_come_through(condition: Condition, expected: std::ops::RangeInclusive<usize>) {
+    #[test_case(NetworkCondition { loss_rate: 0.2, ..NetworkCondition::default() }, 750..=850; "one that loses a fifth")]
+    #[test_case(NetworkCondition { duplicate_rate: 0.5, ..NetworkCondition::default() }, 1450..=1550; "one that doubles half")]
+    fn datagrams_come_through(condition: NetworkCondition, expected: std::ops::RangeInclusive<usize>) {
         let mut wire = wire(condition);
         let count: usize = (0..1000).map(|it| wire.datagram(f64::from(it)).len()).sum();
         assert!(expected.contains(&count), "{count}");
@@ -134,13 +144,14 @@
             let through: Vec<f64> = (0..1000).flat_map(|it| wire.datagram(f64::from(it))).collect();
             through.windows(2).filter(|it| it[0] > it[1]).count()
         };
-        assert_eq!(swaps(Condition { slow: 30.0, ..Condition::default() }), 0);
-        assert!(swaps(Condition { reorder: 0.3, ..Condition::default() }) > 100);
+        assert_eq!(swaps(NetworkCondition { delay_ms: 30.0, ..NetworkCondition::default() }), 0);
+        assert!(swaps(NetworkCondition { reorder_rate: 0.3, ..NetworkCondition::default() }) > 100);
     }
 
     #[test]
     fn pieces_stay_in_order_and_some_come_late() {
-        let mut wire = wire(Condition { thin: 0.1, slow: 5.0, ..Condition::default() });
+        let mut wire =
+            wire(NetworkCondition { loss_rate: 0.1, delay_ms: 5.0, ..NetworkCondition::default() });
         let through: Vec<f64> = (0..1000).map(|it| wire.piece(f64::from(it) * 10.0).0).collect();
         assert!(through.windows(2).all(|it| it[0] <= it[1]));
         assert_eq!(through[0], 5.0);
@@ -150,11 +161,8 @@
 
     #[test]
     fn two_faults_add_up() {
-        let both = Condition { slow: 5.0, thin: 0.5, ..Condition::default() }.and(Condition {
-            slow: 7.0,
-            thin: 0.5,
-            ..CUT
-        });
-        assert_eq!((both.slow, both.thin, both.cut), (12.0, 0.75, true));
+        let both = NetworkCondition { delay_ms: 5.0, loss_rate: 0.5, ..NetworkCondition::default() }
+            .combine(NetworkCondition { delay_ms: 7.0, loss_rate: 0.5, ..CUT });
+        assert_eq!((both.delay_ms, both.loss_rate, both.cut), (12.0, 0.75, true));
     }
 }
--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -2,14 +2,14 @@
 //! reset, slowed, thinned, doubled, reordered, and cut one way only; processes that never outlive who started
 //! them, and what they cost.
 
-mod exchange;
+mod datagram_relay;
+mod error;
+pub mod impairment;
 mod process;
 mod relay;
-mod trouble;
-pub mod wire;
 
-pub use exchange::Exchange;
-pub use process::{cost, Cost, Process};
+pub use datagram_relay::DatagramRelay;
+pub use error::FaultInjectionError;
+pub use impairment::{Direction, NetworkCondition};
+pub use process::{resource_usage, Process, ResourceUsage};
 pub use relay::Relay;
-pub use trouble::Trouble;
-pub use wire::{Condition, Way};
--- a/fault-injection/src/relay.rs
+++ b/fault-injection/src/relay.rs
@@ -5,8 +5,8 @@
 #[cfg(test)]
 mod tests;
 
-use crate::trouble::Trouble;
-use crate::wire::{Condition, Way, Wire};
+use crate::error::FaultInjectionError;
+use crate::impairment::{Direction, ImpairedLink, NetworkCondition};
 use carry::{carry, reset};
 use futures_lite::future::{or, poll_once};
 use line::Line;
@@ -36,14 +36,14 @@
 impl Relay {
     /// # Errors
     /// If no address can be had on loopback.
-    pub fn start(exec: Executor, to: SocketAddr, seed: u64) -> Result<Relay, Trouble> {
-        let no_address = Trouble::no_address("a relay");
+    pub fn start(exec: Executor, to: SocketAddr, seed: u64) -> Result<Relay, FaultInjectionError> {
+        let no_address = FaultInjectionError::no_address("a relay");
         let listener = Listener::bind((Ipv4Addr::LOCALHOST, 0).into()).map_err(no_address)?;
         let address = listener.get_ref().local_addr().map_err(no_address)?;
         let line = Rc::new(Line {
             to,
             began: Instant::now(),
-            ways: [seed, seed ^ 1].map(|it| RefCell::new(Wire::new(it))),
+            ways: [seed, seed ^ 1].map(|it| RefCell::new(ImpairedLink::new(it))),
             version: Cell::new(0),
             waiting: RefCell::default(),
         });
@@ -59,7 +59,7 @@
         self.address
     }
 
-    pub fn set(&self, way: Way, condition: Condition) {
+    pub fn set_condition(&self, way: Direction, condition: NetworkCondition) {
         let mut wire = self.line.ways[way as usize].borrow_mut();
         if wire.condition() == condition {
             return;
--- a/fault-injection/src/relay/carry.rs
+++ b/fault-injection/src/relay/carry.rs
@@ -1,7 +1,7 @@
 //! How one connection is carried, piece by piece in each direction.
 
 use super::line::Line;
-use crate::wire::Way;
+use crate::impairment::Direction;
 use futures_lite::future::{or, try_zip};
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use ottersail_net::{Stream, Timer};
@@ -31,8 +31,8 @@
     let ((near_in, near_out), (far_in, far_out)) =
         (futures_lite::io::split(near), futures_lite::io::split(far));
     let both = try_zip(
-        pump(near_in, far_out, &sockets[0], line, Way::There),
-        pump(far_in, near_out, &sockets[1], line, Way::Back),
+        pump(near_in, far_out, &sockets[0], line, Direction::Forward),
+        pump(far_in, near_out, &sockets[1], line, Direction::Reverse),
     );
     let resets = async {
         line.until(|it| it.any(|it| it.reset)).await;
@@ -60,7 +60,7 @@
     mut to: impl AsyncWrite + Unpin,
     sender: &TcpStream,
     line: &Line,
-    way: Way,
+    way: Direction,
 ) -> Result<()> {
     let (put, take) = async_channel::bounded::<(Instant, Piece)>(PIECES);
     // Who looks first takes the socket's error away.
--- a/fault-injection/src/relay/line.rs
+++ b/fault-injection/src/relay/line.rs
@@ -1,6 +1,6 @@
 //! The state of both directions of a relay, and who waits for it to change.
 
-use crate::wire::{Condition, Way, Wire};
+use crate::impairment::{Direction, ImpairedLink, NetworkCondition};
 use futures_lite::future::poll_fn;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -11,13 +11,13 @@
 pub(super) struct Line {
     pub(super) to: SocketAddr,
     pub(super) began: Instant,
-    pub(super) ways: [RefCell<Wire>; 2],
+    pub(super) ways: [RefCell<ImpairedLink>; 2],
     pub(super) version: Cell<u64>,
     pub(super) waiting: RefCell<Vec<Waker>>,
 }
 
 impl Line {
-    pub(super) fn any(&self, what: impl Fn(Condition) -> bool) -> bool {
+    pub(super) fn any(&self, what: impl Fn(NetworkCondition) -> bool) -> bool {
         self.ways.iter().any(|it| what(it.borrow().condition()))
     }
 
@@ -36,7 +36,7 @@
         .await;
     }
 
-    pub(super) async fn passes(&self, way: Way) {
+    pub(super) async fn passes(&self, way: Direction) {
         self.until(|it| !it.ways[way as usize].borrow().condition().cut).await;
     }
 }
--- a/fault-injection/src/relay/tests.rs
+++ b/fault-injection/src/relay/tests.rs
@@ -1,5 +1,5 @@
 use super::{carry::reset, Relay};
-use crate::wire::{Condition, Way};
+use crate::impairment::{Direction, NetworkCondition};
 use futures_lite::future::or;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use ottersail_net::{block_on, executor, Executor, Listener, Stream, Timer};
@@ -11,7 +11,14 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-const CUT: Condition = Condition { cut: true, reset: false, slow: 0.0, thin: 0.0, double: 0.0, reorder: 0.0 };
+const CUT: NetworkCondition = NetworkCondition {
+    cut: true,
+    reset: false,
+    delay_ms: 0.0,
+    loss_rate: 0.0,
+    duplicate_rate: 0.0,
+    reorder_rate: 0.0,
+};
 const SHORT: Duration = Duration::from_millis(150);
 
 async fn within<T>(what: impl Future<Output = T>) -> Option<T> {
@@ -57,18 +64,18 @@
     Some(back[0])
 }
 
-#[test_case(Way::There, false; "cut on the way there nothing arrives")]
-#[test_case(Way::Back, true; "cut on the way back it arrives and the answer does not")]
-fn one_way_is_cut(way: Way, arrives: bool) {
+#[test_case(Direction::Forward, false; "cut on the way there nothing arrives")]
+#[test_case(Direction::Reverse, true; "cut on the way back it arrives and the answer does not")]
+fn one_way_is_cut(way: Direction, arrives: bool) {
     let exec = executor();
     block_on(exec.run(async {
         let (relay, mut stream, came) = scene(exec).await;
-        relay.set(way, CUT);
+        relay.set_condition(way, CUT);
         assert_eq!(echo(&mut stream, b'b').await, None);
         assert_eq!(came.borrow().contains(&b'b'), arrives);
         let fresh = within(Stream::connect(relay.address())).await;
         assert!(fresh.is_none(), "no new connection comes about");
-        relay.set(way, Condition::default());
+        relay.set_condition(way, NetworkCondition::default());
         let mut byte = [0];
         assert!(within(stream.read_exact(&mut byte)).await.is_some(), "what waited comes through");
         assert_eq!(byte[0], b'b');
@@ -82,13 +89,16 @@
     let exec = executor();
     block_on(exec.run(async {
         let (relay, mut stream, _) = scene(exec).await;
-        relay.set(Way::There, Condition { reset: true, ..Condition::default() });
+        relay.set_condition(
+            Direction::Forward,
+            NetworkCondition { reset: true, ..NetworkCondition::default() },
+        );
         let mut byte = [0];
         let ended = within(stream.read_exact(&mut byte)).await.unwrap().unwrap_err();
         assert_eq!(ended.kind(), ErrorKind::ConnectionReset);
         let mut fresh = within(Stream::connect(relay.address())).await.unwrap().unwrap();
         assert_eq!(echo(&mut fresh, b'b').await, None);
-        relay.set(Way::There, Condition::default());
+        relay.set_condition(Direction::Forward, NetworkCondition::default());
         let mut fresh = within(Stream::connect(relay.address())).await.unwrap().unwrap();
         assert_eq!(echo(&mut fresh, b'c').await, Some(b'c'));
     }));
@@ -100,7 +110,7 @@
     let exec = executor();
     block_on(exec.run(async {
         let (relay, mut stream, came) = scene(exec).await;
-        relay.set(Way::There, CUT);
+        relay.set_condition(Direction::Forward, CUT);
         stream.write_all(b"b").await.unwrap();
         Timer::after(SHORT / 3).await;
         if resets {
@@ -108,7 +118,7 @@
         }
         drop(stream);
         Timer::after(SHORT / 3).await;
-        relay.set(Way::There, Condition::default());
+        relay.set_condition(Direction::Forward, NetworkCondition::default());
         Timer::after(SHORT / 3).await;
         assert_eq!(came.borrow().contains(&b'b'), arrives);
     }));
@@ -119,8 +129,14 @@
     let exec = executor();
     block_on(exec.run(async {
         let (relay, mut stream, _) = scene(exec).await;
-        relay.set(Way::There, Condition { slow: 30.0, ..Condition::default() });
-        relay.set(Way::Back, Condition { slow: 20.0, ..Condition::default() });
+        relay.set_condition(
+            Direction::Forward,
+            NetworkCondition { delay_ms: 30.0, ..NetworkCondition::default() },
+        );
+        relay.set_condition(
+            Direction::Reverse,
+            NetworkCondition { delay_ms: 20.0, ..NetworkCondition::default() },
+        );
         let began = Instant::now();
         assert_eq!(echo(&mut stream, b'b').await, Some(b'b'));
         assert!(began.elapsed() >= Duration::from_millis(50), "{:?}", began.elapsed());
