--- a/fault-injection/src/datagram_relay.rs
+++ b/fault-injection/src/datagram_relay.rs
@@ -42,7 +42,7 @@
         members: Vec<SocketAddr>,
         seed: u64,
     ) -> Result<DatagramRelay, FaultInjectionError> {
-        let no_address = FaultInjectionError::no_address("an exchange");
+        let no_address = FaultInjectionError::no_address("datagram relay");
         let socket = |_: &SocketAddr| Datagrams::bind((Ipv4Addr::LOCALHOST, 0).into());
         let sockets = members.iter().map(socket).collect::<Result<Vec<_>, _>>().map_err(no_address)?;
         let inner = Rc::new(Inner {
@@ -76,7 +76,7 @@
 
     /// How what one member sends to another is carried from now on.
     pub fn set_condition(&self, from: usize, to: usize, condition: NetworkCondition) {
-        self.inner.with_wire(from, to, |it| it.set(condition));
+        self.inner.with_wire(from, to, |it| it.set_condition(condition));
     }
 
     /// Datagrams of nobody known, which went no further.
@@ -104,7 +104,7 @@
             continue;
         };
         let now = inner.began.elapsed().as_secs_f64() * 1e3;
-        for due in inner.with_wire(from, to, |it| it.datagram(now)) {
+        for due in inner.with_wire(from, to, |it| it.send_datagram(now)) {
             if due <= now {
                 inner.sockets[from].send(&bytes[..count], inner.members[to]);
             } else if inner.held.get() < MOST_HELD {
--- a/fault-injection/src/impairment.rs
+++ b/fault-injection/src/impairment.rs
@@ -1,34 +1,37 @@
-//! What a wire does to what goes over it, for each direction apart. No I/O: the time is an argument, in
-//! milliseconds.
+//! A model of one direction of a network link: when data that is sent arrives, and whether it does. It performs
+//! no I/O; the current time is an argument, in milliseconds.
 
-/// A direction, as seen by who calls.
+/// A direction of a relayed connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Direction {
+    /// From the client that connects to the target address.
     Forward,
+    /// From the target address to the client.
     Reverse,
 }
 
-/// How one direction of a wire is.
+/// The faults on one direction of a link. The default has none.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct NetworkCondition {
-    /// Nothing comes through; what is on its way waits, as TCP would send it again, or is lost, if it is a
-    /// datagram.
+    /// Nothing arrives. Data of a TCP connection waits until the cut ends, as TCP would retransmit it;
+    /// datagrams are lost.
     pub cut: bool,
-    /// Connections are reset, those that come anew as well.
+    /// Open connections are reset, and so are new ones.
     pub reset: bool,
-    /// All comes so much later, in milliseconds.
+    /// Added latency, in milliseconds.
     pub delay_ms: f64,
-    /// Part of the datagrams that is lost. Of a connection's pieces that part comes late, since it is sent
-    /// again.
+    /// Fraction of datagrams that are lost. The same fraction of the chunks of a TCP connection arrives late,
+    /// since it is retransmitted.
     pub loss_rate: f64,
-    /// Part of the datagrams that comes twice.
+    /// Fraction of datagrams that arrive twice.
     pub duplicate_rate: f64,
-    /// Part of the datagrams that is overtaken by later ones.
+    /// Fraction of datagrams that are held back so that later ones can overtake them.
     pub reorder_rate: f64,
 }
 
 impl NetworkCondition {
-    /// Both at once.
+    /// The condition of a link with the faults of both. Delays add up, losses are independent of each other,
+    /// and of the other rates the higher one counts.
     pub fn combine(self, other: NetworkCondition) -> NetworkCondition {
         NetworkCondition {
             cut: self.cut || other.cut,
@@ -41,69 +44,73 @@
     }
 }
 
-/// What is lost on a connection is sent again after so long, each further time after twice as long (RFC 6298,
-/// the least that Linux waits).
-const SENT_AGAIN: f64 = 200.0;
-/// So often a piece may be lost in a row.
-const MOST_LOSSES: u32 = 6;
-/// A datagram that is overtaken comes later by up to so much.
-const OVERTAKEN: f64 = 60.0;
+/// Delay before the first retransmission of a lost TCP chunk; it doubles for each further one (RFC 6298). This
+/// is the minimum retransmission timeout of Linux.
+const RETRANSMISSION_TIMEOUT_MS: f64 = 200.0;
+/// How many times in a row a TCP chunk may be lost.
+const MAX_CONSECUTIVE_LOSSES: u32 = 6;
+/// Maximum extra delay of a datagram that is reordered.
+const MAX_REORDER_DELAY_MS: f64 = 60.0;
 
-/// One direction of a wire.
+/// One direction of a link, with random faults drawn from a seed.
 pub struct ImpairedLink {
     rng: fastrand::Rng,
     condition: NetworkCondition,
-    /// When the last piece of a connection was through.
-    last: f64,
+    /// Arrival time of the latest TCP chunk, in milliseconds.
+    last_arrival_ms: f64,
 }
 
 impl ImpairedLink {
+    /// A link without faults.
     pub fn new(seed: u64) -> ImpairedLink {
         ImpairedLink {
             rng: fastrand::Rng::with_seed(seed),
             condition: NetworkCondition::default(),
-            last: f64::MIN,
+            last_arrival_ms: f64::MIN,
         }
     }
 
+    /// The current faults.
     pub fn condition(&self) -> NetworkCondition {
         self.condition
     }
 
-    pub fn set(&mut self, condition: NetworkCondition) {
+    /// Replaces the faults. Arrival times that were already computed stay.
+    pub fn set_condition(&mut self, condition: NetworkCondition) {
         self.condition = condition;
     }
 
-    /// When a connection's piece that comes now is through, never before one that came earlier; and whether
-    /// it is lost at first and has to be sent again.
-    pub fn piece(&mut self, now: f64) -> (f64, bool) {
-        let mut due = now + self.condition.delay_ms;
-        let mut again = SENT_AGAIN;
-        for _ in 0..MOST_LOSSES {
+    /// Sends a chunk of a TCP connection at `now_ms`. Returns its arrival time in milliseconds, never before
+    /// that of an earlier chunk, and whether it was lost at first and had to be retransmitted.
+    pub fn send_chunk(&mut self, now_ms: f64) -> (f64, bool) {
+        let mut arrival_ms = now_ms + self.condition.delay_ms;
+        let mut timeout_ms = RETRANSMISSION_TIMEOUT_MS;
+        for _ in 0..MAX_CONSECUTIVE_LOSSES {
             if self.rng.f64() >= self.condition.loss_rate {
                 break;
             }
-            due += again;
-            again *= 2.0;
+            arrival_ms += timeout_ms;
+            timeout_ms *= 2.0;
         }
-        self.last = self.last.max(due);
-        (self.last, again > SENT_AGAIN)
+        self.last_arrival_ms = self.last_arrival_ms.max(arrival_ms);
+        (self.last_arrival_ms, timeout_ms > RETRANSMISSION_TIMEOUT_MS)
     }
 
-    /// When the copies of a datagram that comes now are through; none if it is lost.
-    pub fn datagram(&mut self, now: f64) -> Vec<f64> {
+    /// Sends a datagram at `now_ms`. Returns the arrival times of its copies in milliseconds; none if it is
+    /// lost.
+    pub fn send_datagram(&mut self, now_ms: f64) -> Vec<f64> {
         if self.condition.cut || self.rng.f64() < self.condition.loss_rate {
             return Vec::new();
         }
-        let through = |rng: &mut fastrand::Rng| {
-            let overtaken = rng.f64() < self.condition.reorder_rate;
-            now + self.condition.delay_ms + if overtaken { rng.f64() * OVERTAKEN } else { 0.0 }
+        let arrival_ms = |rng: &mut fastrand::Rng| {
+            let reordered = rng.f64() < self.condition.reorder_rate;
+            now_ms + self.condition.delay_ms + if reordered { rng.f64() * MAX_REORDER_DELAY_MS } else { 0.0 }
         };
-        let mut copies = vec![through(&mut self.rng)];
+        let mut arrivals_ms = vec![arrival_ms(&mut self.rng)];
         if self.rng.f64() < self.condition.duplicate_rate {
-            copies.push(through(&mut self.rng));
+            arrivals_ms.push(arrival_ms(&mut self.rng));
         }
-        copies
+        arrivals_ms
     }
 }
 
@@ -121,48 +128,56 @@
         reorder_rate: 0.0,
     };
 
-    fn wire(condition: NetworkCondition) -> ImpairedLink {
-        let mut wire = ImpairedLink::new(7);
-        wire.set(condition);
-        wire
+    fn link_with(condition: NetworkCondition) -> ImpairedLink {
+        let mut link = ImpairedLink::new(7);
+        link.set_condition(condition);
+        link
     }
 
-    #[test_case(NetworkCondition::default(), 1000..=1000; "a whole wire")]
-    #[test_case(CUT, 0..=0; "a cut one")]
-    #[test_case(NetworkCondition { loss_rate: 0.2, ..NetworkCondition::default() }, 750..=850; "one that loses a fifth")]
-    #[test_case(NetworkCondition { duplicate_rate: 0.5, ..NetworkCondition::default() }, 1450..=1550; "one that doubles half")]
-    fn datagrams_come_through(condition: NetworkCondition, expected: std::ops::RangeInclusive<usize>) {
-        let mut wire = wire(condition);
-        let count: usize = (0..1000).map(|it| wire.datagram(f64::from(it)).len()).sum();
+    #[test_case(NetworkCondition::default(), 1000..=1000; "no faults")]
+    #[test_case(CUT, 0..=0; "cut")]
+    #[test_case(NetworkCondition { loss_rate: 0.2, ..NetworkCondition::default() }, 750..=850; "a fifth is lost")]
+    #[test_case(NetworkCondition { duplicate_rate: 0.5, ..NetworkCondition::default() }, 1450..=1550; "half is duplicated")]
+    fn datagrams_arrive_at_the_rates_of_the_condition(
+        condition: NetworkCondition,
+        expected: std::ops::RangeInclusive<usize>,
+    ) {
+        let mut link = link_with(condition);
+        let count: usize = (0..1000).map(|now_ms| link.send_datagram(f64::from(now_ms)).len()).sum();
         assert!(expected.contains(&count), "{count}");
     }
 
     #[test]
-    fn datagrams_overtake_one_another_only_where_told() {
-        let swaps = |condition| {
-            let mut wire = wire(condition);
-            let through: Vec<f64> = (0..1000).flat_map(|it| wire.datagram(f64::from(it))).collect();
-            through.windows(2).filter(|it| it[0] > it[1]).count()
+    fn datagrams_are_reordered_only_with_a_reorder_rate() {
+        let overtakings = |condition| {
+            let mut link = link_with(condition);
+            let arrivals: Vec<f64> =
+                (0..1000).flat_map(|now_ms| link.send_datagram(f64::from(now_ms))).collect();
+            arrivals.windows(2).filter(|pair| pair[0] > pair[1]).count()
         };
-        assert_eq!(swaps(NetworkCondition { delay_ms: 30.0, ..NetworkCondition::default() }), 0);
-        assert!(swaps(NetworkCondition { reorder_rate: 0.3, ..NetworkCondition::default() }) > 100);
+        assert_eq!(overtakings(NetworkCondition { delay_ms: 30.0, ..NetworkCondition::default() }), 0);
+        assert!(overtakings(NetworkCondition { reorder_rate: 0.3, ..NetworkCondition::default() }) > 100);
     }
 
     #[test]
-    fn pieces_stay_in_order_and_some_come_late() {
-        let mut wire =
-            wire(NetworkCondition { loss_rate: 0.1, delay_ms: 5.0, ..NetworkCondition::default() });
-        let through: Vec<f64> = (0..1000).map(|it| wire.piece(f64::from(it) * 10.0).0).collect();
-        assert!(through.windows(2).all(|it| it[0] <= it[1]));
-        assert_eq!(through[0], 5.0);
-        let late = through.iter().enumerate().filter(|it| *it.1 > it.0 as f64 * 10.0 + 100.0).count();
-        assert!((500..=990).contains(&late), "{late}: a lost piece holds up those behind it");
+    fn lost_chunks_arrive_late_and_in_order() {
+        let mut link =
+            link_with(NetworkCondition { loss_rate: 0.1, delay_ms: 5.0, ..NetworkCondition::default() });
+        let arrivals: Vec<f64> = (0..1000).map(|index| link.send_chunk(f64::from(index) * 10.0).0).collect();
+        assert!(arrivals.windows(2).all(|pair| pair[0] <= pair[1]));
+        assert_eq!(arrivals[0], 5.0);
+        let late = arrivals
+            .iter()
+            .enumerate()
+            .filter(|(index, arrival)| **arrival > *index as f64 * 10.0 + 100.0)
+            .count();
+        assert!((500..=990).contains(&late), "{late}: a lost chunk delays those behind it");
     }
 
     #[test]
-    fn two_faults_add_up() {
-        let both = NetworkCondition { delay_ms: 5.0, loss_rate: 0.5, ..NetworkCondition::default() }
+    fn combined_conditions_have_the_faults_of_both() {
+        let combined = NetworkCondition { delay_ms: 5.0, loss_rate: 0.5, ..NetworkCondition::default() }
             .combine(NetworkCondition { delay_ms: 7.0, loss_rate: 0.5, ..CUT });
-        assert_eq!((both.delay_ms, both.loss_rate, both.cut), (12.0, 0.75, true));
+        assert_eq!((combined.delay_ms, combined.loss_rate, combined.cut), (12.0, 0.75, true));
     }
 }
--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -1,6 +1,6 @@
-//! The rig on which many processes are played against each other: wires between two parties that can be cut,
-//! reset, slowed, thinned, doubled, reordered, and cut one way only; processes that never outlive who started
-//! them, and what they cost.
+//! Fault injection for tests that run many processes: relays between two parties that can block, reset, delay,
+//! drop, duplicate and reorder traffic, in each direction separately; child processes that never outlive the
+//! process that started them, and their resource usage.
 
 mod datagram_relay;
 mod error;
--- a/fault-injection/src/relay.rs
+++ b/fault-injection/src/relay.rs
@@ -37,7 +37,7 @@
     /// # Errors
     /// If no address can be had on loopback.
     pub fn start(exec: Executor, to: SocketAddr, seed: u64) -> Result<Relay, FaultInjectionError> {
-        let no_address = FaultInjectionError::no_address("a relay");
+        let no_address = FaultInjectionError::no_address("TCP relay");
         let listener = Listener::bind((Ipv4Addr::LOCALHOST, 0).into()).map_err(no_address)?;
         let address = listener.get_ref().local_addr().map_err(no_address)?;
         let line = Rc::new(Line {
@@ -64,7 +64,7 @@
         if wire.condition() == condition {
             return;
         }
-        wire.set(condition);
+        wire.set_condition(condition);
         drop(wire);
         self.line.version.set(self.line.version.get() + 1);
         self.line.waiting.borrow_mut().drain(..).for_each(Waker::wake);
--- a/fault-injection/src/relay/carry.rs
+++ b/fault-injection/src/relay/carry.rs
@@ -73,7 +73,7 @@
             let met_cut = is_cut();
             line.passes(way).await;
             let (due, lost) =
-                line.ways[way as usize].borrow_mut().piece(line.began.elapsed().as_secs_f64() * 1e3);
+                line.ways[way as usize].borrow_mut().send_chunk(line.began.elapsed().as_secs_f64() * 1e3);
             let due = line.began + Duration::from_secs_f64(due / 1e3);
             let piece = match read {
                 Ok(0) => Piece::End,
