--- a/fault-injection/src/datagram_relay.rs
+++ b/fault-injection/src/datagram_relay.rs
@@ -1,5 +1,6 @@
-//! Wires for the datagrams between members of a group. Each member is known to the others by an address here;
-//! what comes to it is sent on from the address of who sent it, so that answers take the same way.
+//! Relays the UDP datagrams between the members of a group. The relay has one address for each member, which
+//! the others send to. It forwards a datagram from the address that it has for the sender, so that replies go
+//! through the relay too.
 
 use crate::error::FaultInjectionError;
 use crate::impairment::{ImpairedLink, NetworkCondition};
@@ -10,33 +11,40 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The largest datagram that is carried, and those on their way at once; one more is lost.
-const LARGEST: usize = 2_048;
-const MOST_HELD: usize = 65_536;
+/// Size of the receive buffer; the largest datagram that is relayed whole.
+const MAX_DATAGRAM_BYTES: usize = 2_048;
+/// How many delayed datagrams are held at once; any further one is dropped.
+const MAX_DELAYED_DATAGRAMS: usize = 65_536;
+/// Pause after a failed receive.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
+/// Relays datagrams between members, with a network condition for each ordered pair of members.
 pub struct DatagramRelay {
-    inner: Rc<Inner>,
-    /// Dropping it closes everything.
+    state: Rc<State>,
+    /// The forwarding tasks; dropping the group ends them.
     _tasks: TaskGroup,
 }
 
-struct Inner {
-    began: Instant,
+struct State {
+    started: Instant,
     seed: u64,
+    /// The relay's socket for each member.
     sockets: Vec<Datagrams>,
-    members: Vec<SocketAddr>,
-    numbers: BTreeMap<SocketAddr, usize>,
-    wires: RefCell<BTreeMap<(usize, usize), ImpairedLink>>,
-    held: Cell<usize>,
+    /// The address that each member listens on and sends from.
+    member_addresses: Vec<SocketAddr>,
+    member_indices: BTreeMap<SocketAddr, usize>,
+    /// The links that are in use, by the indices of sender and receiver.
+    links: RefCell<BTreeMap<(usize, usize), ImpairedLink>>,
+    delayed_count: Cell<usize>,
     unknown_senders: Cell<u64>,
     delayed: TaskGroup,
 }
 
 impl DatagramRelay {
-    /// Wires between all members, who send from where they listen.
+    /// Starts a relay between all `members`, given by the address that each listens on and sends from.
     ///
     /// # Errors
-    /// If no addresses can be had on loopback.
+    /// If no socket can be bound on loopback.
     pub fn start(
         exec: Executor,
         members: Vec<SocketAddr>,
@@ -45,75 +53,79 @@
         let no_address = FaultInjectionError::no_address("datagram relay");
         let socket = |_: &SocketAddr| Datagrams::bind((Ipv4Addr::LOCALHOST, 0).into());
         let sockets = members.iter().map(socket).collect::<Result<Vec<_>, _>>().map_err(no_address)?;
-        let inner = Rc::new(Inner {
-            began: Instant::now(),
+        let state = Rc::new(State {
+            started: Instant::now(),
             seed,
             sockets,
-            numbers: members.iter().enumerate().map(|it| (*it.1, it.0)).collect(),
-            members,
-            wires: RefCell::default(),
-            held: Cell::new(0),
+            member_indices: members.iter().enumerate().map(|(index, address)| (*address, index)).collect(),
+            member_addresses: members,
+            links: RefCell::default(),
+            delayed_count: Cell::new(0),
             unknown_senders: Cell::new(0),
             delayed: TaskGroup::new(exec),
         });
         let tasks = TaskGroup::new(exec);
-        for to in 0..inner.members.len() {
-            let inner = inner.clone();
-            tasks.spawn(async move { carry(&inner, to).await });
+        for receiver in 0..state.member_addresses.len() {
+            let state = state.clone();
+            tasks.spawn(async move { forward_to(&state, receiver).await });
         }
-        Ok(DatagramRelay { inner, _tasks: tasks })
+        Ok(DatagramRelay { state, _tasks: tasks })
     }
 
-    /// Where the others find a member.
+    /// The relay's address for a member, which the other members send to.
     ///
     /// # Errors
-    /// If there is no such member, or the system can't tell.
+    /// If there is no such member, or the operating system can't tell the address.
     pub fn address(&self, member: usize) -> Result<SocketAddr, FaultInjectionError> {
-        let none = || std::io::ErrorKind::NotFound.into();
-        let told = self.inner.sockets.get(member).ok_or_else(none).and_then(|it| it.get_ref().local_addr());
-        told.map_err(|cause| FaultInjectionError::MemberAddress { member, cause })
+        let not_found = || std::io::ErrorKind::NotFound.into();
+        let socket = self.state.sockets.get(member).ok_or_else(not_found);
+        let address = socket.and_then(|socket| socket.get_ref().local_addr());
+        address.map_err(|cause| FaultInjectionError::MemberAddress { member, cause })
     }
 
-    /// How what one member sends to another is carried from now on.
+    /// Sets the condition for datagrams that member `from` sends to member `to` from now on.
     pub fn set_condition(&self, from: usize, to: usize, condition: NetworkCondition) {
-        self.inner.with_wire(from, to, |it| it.set_condition(condition));
+        self.state.with_link(from, to, |link| link.set_condition(condition));
     }
 
-    /// Datagrams of nobody known, which went no further.
+    /// How many datagrams were dropped because their source address is not a member's.
     pub fn unknown_senders(&self) -> u64 {
-        self.inner.unknown_senders.get()
+        self.state.unknown_senders.get()
     }
 }
 
-impl Inner {
-    fn with_wire<T>(&self, from: usize, to: usize, what: impl FnOnce(&mut ImpairedLink) -> T) -> T {
+impl State {
+    /// Calls `action` with the link between two members, which is created at first use.
+    fn with_link<T>(&self, from: usize, to: usize, action: impl FnOnce(&mut ImpairedLink) -> T) -> T {
+        // The factors give each ordered pair of members its own sequence of random numbers.
         let seed = self.seed.wrapping_mul(1_000_003) + (from * 4_099 + to) as u64;
-        what(self.wires.borrow_mut().entry((from, to)).or_insert_with(|| ImpairedLink::new(seed)))
+        action(self.links.borrow_mut().entry((from, to)).or_insert_with(|| ImpairedLink::new(seed)))
     }
 }
 
-async fn carry(inner: &Rc<Inner>, to: usize) {
-    let mut bytes = [0; LARGEST];
+/// Forwards the datagrams that are addressed to one member.
+async fn forward_to(state: &Rc<State>, receiver: usize) {
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
-        let Ok((count, source)) = inner.sockets[to].receive(&mut bytes).await else {
-            Timer::after(Duration::from_millis(5)).await;
+        let Ok((length, source)) = state.sockets[receiver].receive(&mut buffer).await else {
+            Timer::after(RECEIVE_RETRY_DELAY).await;
             continue;
         };
-        let Some(from) = inner.numbers.get(&source).copied() else {
-            inner.unknown_senders.set(inner.unknown_senders.get() + 1);
+        let Some(sender) = state.member_indices.get(&source).copied() else {
+            state.unknown_senders.set(state.unknown_senders.get() + 1);
             continue;
         };
-        let now = inner.began.elapsed().as_secs_f64() * 1e3;
-        for due in inner.with_wire(from, to, |it| it.send_datagram(now)) {
-            if due <= now {
-                inner.sockets[from].send(&bytes[..count], inner.members[to]);
-            } else if inner.held.get() < MOST_HELD {
-                inner.held.set(inner.held.get() + 1);
-                let (later, bytes) = (inner.clone(), bytes[..count].to_vec());
-                inner.delayed.spawn(async move {
-                    Timer::at(later.began + Duration::from_secs_f64(due / 1e3)).await;
-                    later.sockets[from].send(&bytes, later.members[to]);
-                    later.held.set(later.held.get() - 1);
+        let now_ms = state.started.elapsed().as_secs_f64() * 1e3;
+        for arrival_ms in state.with_link(sender, receiver, |link| link.send_datagram(now_ms)) {
+            if arrival_ms <= now_ms {
+                state.sockets[sender].send(&buffer[..length], state.member_addresses[receiver]);
+            } else if state.delayed_count.get() < MAX_DELAYED_DATAGRAMS {
+                state.delayed_count.set(state.delayed_count.get() + 1);
+                let (task_state, datagram) = (state.clone(), buffer[..length].to_vec());
+                state.delayed.spawn(async move {
+                    Timer::at(task_state.started + Duration::from_secs_f64(arrival_ms / 1e3)).await;
+                    task_state.sockets[sender].send(&datagram, task_state.member_addresses[receiver]);
+                    task_state.delayed_count.set(task_state.delayed_count.get() - 1);
                 });
             }
         }
@@ -125,63 +137,55 @@
     use super::*;
     use ottersail_net::{block_on, executor};
 
+    /// The text and the source address of the next datagram, or `None` if none arrives within 100 ms.
+    async fn receive(member: &Datagrams) -> Option<(String, SocketAddr)> {
+        let member = Datagrams::new(member.get_ref().try_clone().unwrap()).unwrap();
+        let mut buffer = [0; 64];
+        let received = async {
+            member.receive(&mut buffer).await.ok().map(|(length, from)| (buffer[..length].to_vec(), from))
+        };
+        let timeout = async {
+            Timer::after(Duration::from_millis(100)).await;
+            None
+        };
+        let (bytes, from) = futures_lite::future::or(received, timeout).await?;
+        Some((String::from_utf8(bytes).unwrap(), from))
+    }
+
     #[test]
-    fn answers_take_the_way_back_and_each_way_is_apart() {
+    fn replies_go_through_the_relay_and_each_direction_has_its_own_condition() {
         let exec = executor();
         block_on(exec.run(async {
             let member = || Datagrams::bind((Ipv4Addr::LOCALHOST, 0).into()).unwrap();
-            let (a, b) = (member(), member());
-            let addresses = [&a, &b].map(|it| it.get_ref().local_addr().unwrap());
-            let exchange = DatagramRelay::start(exec, addresses.to_vec(), 3).unwrap();
-            let (a_there, b_there) = (exchange.address(0).unwrap(), exchange.address(1).unwrap());
-            let hear = |at: &'static str, it: &Datagrams| {
-                let mut bytes = [0; 64];
-                let socket = it.get_ref().try_clone().unwrap();
-                let it = Datagrams::new(socket).unwrap();
-                async move {
-                    futures_lite::future::or(
-                        async {
-                            it.receive(&mut bytes)
-                                .await
-                                .ok()
-                                .map(|(count, from)| (bytes[..count].to_vec(), from))
-                        },
-                        async {
-                            Timer::after(Duration::from_millis(100)).await;
-                            None
-                        },
-                    )
-                    .await
-                    .map(|(bytes, from)| (String::from_utf8(bytes).unwrap(), from, at))
-                }
-            };
-            a.send(b"ping", b_there);
-            let heard = hear("b", &b).await.unwrap();
+            let (first, second) = (member(), member());
+            let addresses = [&first, &second].map(|socket| socket.get_ref().local_addr().unwrap());
+            let relay = DatagramRelay::start(exec, addresses.to_vec(), 3).unwrap();
+            let (to_first, to_second) = (relay.address(0).unwrap(), relay.address(1).unwrap());
+            first.send(b"ping", to_second);
+            let (text, source) = receive(&second).await.unwrap();
             assert_eq!(
-                (heard.0.as_str(), heard.1),
-                ("ping", a_there),
-                "it comes from where its sender is known"
-            );
-            b.send(b"pong", a_there);
-            assert_eq!(hear("a", &a).await.unwrap().0, "pong");
-            exchange.set_condition(0, 1, NetworkCondition { cut: true, ..NetworkCondition::default() });
-            a.send(b"ping", b_there);
-            assert_eq!(hear("b", &b).await, None);
-            b.send(b"pong", a_there);
-            assert_eq!(hear("a", &a).await.unwrap().0, "pong", "the other way is whole");
-            exchange.set_condition(
-                0,
-                1,
-                NetworkCondition { delay_ms: 30.0, duplicate_rate: 1.0, ..NetworkCondition::default() },
+                (text.as_str(), source),
+                ("ping", to_first),
+                "the source is the relay's address for the sender"
             );
-            let began = Instant::now();
-            a.send(b"slow", b_there);
-            assert_eq!(hear("b", &b).await.unwrap().0, "slow");
-            assert!(began.elapsed() >= Duration::from_millis(30));
-            assert_eq!(hear("b", &b).await.unwrap().0, "slow", "it comes twice");
-            member().send(b"who", b_there);
-            assert_eq!(hear("b", &b).await, None);
-            assert_eq!(exchange.unknown_senders(), 1);
+            second.send(b"pong", to_first);
+            assert_eq!(receive(&first).await.unwrap().0, "pong");
+            relay.set_condition(0, 1, NetworkCondition { cut: true, ..NetworkCondition::default() });
+            first.send(b"ping", to_second);
+            assert_eq!(receive(&second).await, None);
+            second.send(b"pong", to_first);
+            assert_eq!(receive(&first).await.unwrap().0, "pong", "the other direction is not cut");
+            let delayed_twice =
+                NetworkCondition { delay_ms: 30.0, duplicate_rate: 1.0, ..NetworkCondition::default() };
+            relay.set_condition(0, 1, delayed_twice);
+            let sent = Instant::now();
+            first.send(b"slow", to_second);
+            assert_eq!(receive(&second).await.unwrap().0, "slow");
+            assert!(sent.elapsed() >= Duration::from_millis(30));
+            assert_eq!(receive(&second).await.unwrap().0, "slow", "the datagram is duplicated");
+            member().send(b"who", to_second);
+            assert_eq!(receive(&second).await, None);
+            assert_eq!(relay.unknown_senders(), 1);
         }));
     }
 }
