--- a/fault-injection/src/relay.rs
+++ b/fault-injection/src/relay.rs
@@ -1,15 +1,15 @@
-//! A relay for the connections of one caller to one address, on the thread that made it.
+//! A TCP relay between the clients of one address and that address. It runs on the thread that started it.
 
-mod carry;
-mod line;
+mod connection_path;
+mod forward;
 #[cfg(test)]
 mod tests;
 
 use crate::error::FaultInjectionError;
 use crate::impairment::{Direction, ImpairedLink, NetworkCondition};
-use carry::{carry, reset};
+use connection_path::ConnectionPath;
+use forward::{forward_connection, reset_on_close};
 use futures_lite::future::{or, poll_once};
-use line::Line;
 use ottersail_net::{Executor, Listener, TaskGroup, Timer};
 use rustix::net::listen;
 use std::cell::{Cell, RefCell};
@@ -18,97 +18,108 @@
 use std::task::Waker;
 use std::time::{Duration, Instant};
 
+/// Length of the listener's accept queue while neither direction is cut.
 const BACKLOG: i32 = 1_024;
-/// Connections that fill a queue of none.
-const FILLERS: usize = 2;
-const PAUSE: Duration = Duration::from_millis(20);
+/// How many connections fill an accept queue whose backlog is 0.
+const FILLER_CONNECTIONS: usize = 2;
+/// Pause after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Stands in front of an address. While a direction is cut no new connection comes about, as if its first
-/// packet or the answer to that were lost; what is open goes on in the direction that is whole. Where nobody
-/// listens behind it, a caller finds a connection that is reset, not one that is refused.
+/// Relays TCP connections to a target address, with a network condition for each direction.
+///
+/// While a direction is cut no new connection is established, as if the SYN or the SYN-ACK were lost; open
+/// connections continue in the direction that is not cut. If nothing listens on the target address, a client's
+/// connection is accepted and then reset, not refused.
 pub struct Relay {
     address: SocketAddr,
-    line: Rc<Line>,
-    /// Dropping it closes everything.
+    path: Rc<ConnectionPath>,
+    /// The accept loop and the connections; dropping the group closes them.
     _tasks: TaskGroup,
 }
 
 impl Relay {
+    /// Starts a relay to `target` on a free port of 127.0.0.1.
+    ///
     /// # Errors
-    /// If no address can be had on loopback.
-    pub fn start(exec: Executor, to: SocketAddr, seed: u64) -> Result<Relay, FaultInjectionError> {
+    /// If no socket can be bound on loopback.
+    pub fn start(exec: Executor, target: SocketAddr, seed: u64) -> Result<Relay, FaultInjectionError> {
         let no_address = FaultInjectionError::no_address("TCP relay");
         let listener = Listener::bind((Ipv4Addr::LOCALHOST, 0).into()).map_err(no_address)?;
         let address = listener.get_ref().local_addr().map_err(no_address)?;
-        let line = Rc::new(Line {
-            to,
-            began: Instant::now(),
-            ways: [seed, seed ^ 1].map(|it| RefCell::new(ImpairedLink::new(it))),
+        let path = Rc::new(ConnectionPath {
+            target,
+            started: Instant::now(),
+            links: [seed, seed ^ 1].map(|link_seed| RefCell::new(ImpairedLink::new(link_seed))),
             version: Cell::new(0),
             waiting: RefCell::default(),
         });
         let tasks = TaskGroup::new(exec);
-        let carried = TaskGroup::new(exec);
-        let served = line.clone();
-        tasks.spawn(async move { serve(&carried, &listener, &served).await });
-        Ok(Relay { address, line, _tasks: tasks })
+        let connections = TaskGroup::new(exec);
+        let accept_path = path.clone();
+        tasks.spawn(async move { accept_connections(&connections, &listener, &accept_path).await });
+        Ok(Relay { address, path, _tasks: tasks })
     }
 
-    /// Where callers find it.
+    /// The address that clients connect to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    pub fn set_condition(&self, way: Direction, condition: NetworkCondition) {
-        let mut wire = self.line.ways[way as usize].borrow_mut();
-        if wire.condition() == condition {
+    /// Sets the condition of one direction, for open and new connections.
+    pub fn set_condition(&self, direction: Direction, condition: NetworkCondition) {
+        let mut link = self.path.links[direction as usize].borrow_mut();
+        if link.condition() == condition {
             return;
         }
-        wire.set_condition(condition);
-        drop(wire);
-        self.line.version.set(self.line.version.get() + 1);
-        self.line.waiting.borrow_mut().drain(..).for_each(Waker::wake);
+        link.set_condition(condition);
+        drop(link);
+        self.path.version.set(self.path.version.get() + 1);
+        self.path.waiting.borrow_mut().drain(..).for_each(Waker::wake);
     }
 }
 
-async fn serve(carried: &TaskGroup, listener: &Listener, line: &Rc<Line>) {
+/// Accepts connections while neither direction is cut, and forwards or resets them.
+async fn accept_connections(connections: &TaskGroup, listener: &Listener, path: &Rc<ConnectionPath>) {
     loop {
-        if line.any(|it| it.cut) {
-            let fillers = shut(listener);
-            line.until(|it| !it.any(|it| it.cut)).await;
+        if path.any_direction(|condition| condition.cut) {
+            let fillers = fill_accept_queue(listener);
+            path.wait_until(|path| !path.any_direction(|condition| condition.cut)).await;
             drop(fillers);
-            while poll_once(listener.accept()).await.is_some_and(|it| it.is_ok()) {}
+            // Empties the accept queue of the fillers and of whatever else was queued.
+            while poll_once(listener.accept()).await.is_some_and(|accepted| accepted.is_ok()) {}
             _ = listen(listener.get_ref(), BACKLOG);
         }
-        let changes = async {
-            line.until(|it| it.any(|it| it.cut)).await;
+        let cut_begins = async {
+            path.wait_until(|path| path.any_direction(|condition| condition.cut)).await;
             None
         };
-        match or(async { Some(listener.accept().await) }, changes).await {
-            Some(Ok((near, _))) if line.any(|it| it.reset) => reset(&near),
-            Some(Ok((near, _))) => {
-                let line = line.clone();
-                carried.spawn(async move { carry(near, &line).await });
+        match or(async { Some(listener.accept().await) }, cut_begins).await {
+            Some(Ok((client, _))) if path.any_direction(|condition| condition.reset) => {
+                reset_on_close(&client);
             }
-            Some(Err(_)) => Timer::after(PAUSE).await,
+            Some(Ok((client, _))) => {
+                let path = path.clone();
+                connections.spawn(async move { forward_connection(client, &path).await });
+            }
+            Some(Err(_)) => Timer::after(ACCEPT_RETRY_DELAY).await,
             None => {}
         }
     }
 }
 
-/// Fills the queue of those who wait to be accepted: the system drops what else would join it, and the caller
-/// tries again until its time is up.
-fn shut(listener: &Listener) -> Vec<socket2::Socket> {
+/// Fills the accept queue. The kernel drops the SYN of any further connection, and the client retransmits it
+/// until it times out. Returns the sockets that occupy the queue.
+fn fill_accept_queue(listener: &Listener) -> Vec<socket2::Socket> {
     let socket = listener.get_ref();
     _ = listen(socket, 0);
     let Ok(address) = socket.local_addr() else {
         return Vec::new();
     };
-    let filler = |_| {
-        let kind = socket2::Type::STREAM.nonblocking();
-        let filler = socket2::Socket::new(socket2::Domain::IPV4, kind, None).ok()?;
+    let connect_filler = |_| {
+        let socket_type = socket2::Type::STREAM.nonblocking();
+        let filler = socket2::Socket::new(socket2::Domain::IPV4, socket_type, None).ok()?;
         _ = filler.connect(&address.into());
         Some(filler)
     };
-    (0..FILLERS).filter_map(filler).collect()
+    (0..FILLER_CONNECTIONS).filter_map(connect_filler).collect()
 }
