--- a/daemon/src/rehearse/manager_faults.rs
+++ b/daemon/src/rehearse/manager_faults.rs
@@ -50,7 +50,7 @@
         });
         ending.retain(|EndingManager { manager, told_at }| {
             let (index, manager) = (*manager, &mut managers[*manager]);
-            match manager.process.ended() {
+            match manager.process.exit_status() {
                 Some(status) if !status.success() => {
                     manager.unclean = Some(UncleanExit::Failed { manager: index, status });
                 }
--- a/daemon/src/rehearse/member_network.rs
+++ b/daemon/src/rehearse/member_network.rs
@@ -4,7 +4,7 @@
 use super::error::RehearseError;
 use crate::settings::day::DayPlan;
 use ottersail_fake_servers::{Fault, Recorder, Ways};
-use ottersail_fault_injection::{Condition, Exchange};
+use ottersail_fault_injection::{DatagramRelay, NetworkCondition};
 use ottersail_invariants::Event;
 use ottersail_net::{block_on, executor, Timer};
 use std::collections::BTreeSet;
@@ -24,14 +24,14 @@
 /// A fault of the network, and the managers that it affects.
 struct NetworkFault {
     fault: Fault,
-    condition: Condition,
+    condition: NetworkCondition,
     managers: BTreeSet<usize>,
 }
 
 impl NetworkFault {
     /// The condition of the link from one manager to another while the fault is on. `Ways::There` affects what the
     /// affected managers send, `Ways::Back` what is sent to them.
-    fn condition_of(&self, from: usize, to: usize) -> Condition {
+    fn condition_of(&self, from: usize, to: usize) -> NetworkCondition {
         let (from_affected, to_affected) = (self.managers.contains(&from), self.managers.contains(&to));
         let is_affected = match self.fault.ways {
             Ways::Both => from_affected || to_affected,
@@ -41,7 +41,7 @@
         if is_affected {
             self.condition
         } else {
-            Condition::default()
+            NetworkCondition::default()
         }
     }
 }
@@ -81,7 +81,7 @@
             let exec = executor();
             block_on(exec.run(async {
                 let count = members.len();
-                let started = Exchange::start(exec, members, seed).and_then(|exchange| {
+                let started = DatagramRelay::start(exec, members, seed).and_then(|exchange| {
                     let addresses =
                         (0..count).map(|index| exchange.address(index)).collect::<Result<Vec<_>, _>>()?;
                     Ok((exchange, addresses))
@@ -136,7 +136,7 @@
 async fn play_faults(
     faults: &[NetworkFault],
     count: usize,
-    exchange: &Exchange,
+    exchange: &DatagramRelay,
     recorder: &Recorder,
     began: Instant,
 ) {
@@ -161,7 +161,11 @@
         }
         for (from, to) in (0..count).flat_map(|from| (0..count).map(move |to| (from, to))) {
             let conditions = active.iter().map(|index| faults[*index].condition_of(from, to));
-            exchange.set(from, to, conditions.fold(Condition::default(), Condition::and));
+            exchange.set_condition(
+                from,
+                to,
+                conditions.fold(NetworkCondition::default(), NetworkCondition::combine),
+            );
         }
         let what = format!("datagrams of {} managers", faults[index].managers.len());
         recorder.note(Event::Fault { name: faults[index].fault.name.clone(), on, what });
--- a/daemon/src/rehearse/play.rs
+++ b/daemon/src/rehearse/play.rs
@@ -17,7 +17,7 @@
 use ottersail::ids::ManagerIndex;
 use ottersail::time::Ms;
 use ottersail_fake_servers::{run_fleet, run_players, Crowd, FaultKind, Recorder};
-use ottersail_fault_injection::cost;
+use ottersail_fault_injection::resource_usage;
 use ottersail_invariants::{Event, Verdict};
 use ottersail_net::Clock;
 use ottersail_signed_urls::Keys;
@@ -111,7 +111,7 @@
     let played = all_ready.map(|()| {
         managers.iter().for_each(|manager| recorder.note(Event::ManagerReady { manager: manager.number }));
         measure_rest(plan, &managers, &recorder, interrupted);
-        let costs = managers.iter().map(|manager| cost(manager.process.id())).collect::<Vec<_>>();
+        let costs = managers.iter().map(|manager| resource_usage(manager.process.id())).collect::<Vec<_>>();
         let began = clock.now() + START_DELAY_MS;
         _ = start_sender.send_blocking(began);
         let day_over = Arc::new(AtomicBool::new(false));
--- a/daemon/src/rehearse/resource_usage.rs
+++ b/daemon/src/rehearse/resource_usage.rs
@@ -3,7 +3,7 @@
 use super::manager_process::Manager;
 use crate::settings::day::DayPlan;
 use ottersail_fake_servers::Recorder;
-use ottersail_fault_injection::{cost, Cost};
+use ottersail_fault_injection::{resource_usage, ResourceUsage};
 use ottersail_invariants::Event;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
@@ -24,28 +24,34 @@
         return;
     }
     wait(SETTLE_TIME, interrupted);
-    let measure = || managers.iter().filter_map(|manager| cost(manager.process.id())).collect::<Vec<Cost>>();
+    let measure = || {
+        managers
+            .iter()
+            .filter_map(|manager| resource_usage(manager.process.id()))
+            .collect::<Vec<ResourceUsage>>()
+    };
     let (before, began) = (measure(), Instant::now());
     wait(Duration::from_secs_f64(plan.rest.0 / 1e3), interrupted);
     let (after, seconds) = (measure(), began.elapsed().as_secs_f64());
-    let mean =
-        |of: &dyn Fn(&Cost) -> f64, costs: &[Cost]| costs.iter().map(of).sum::<f64>() / costs.len() as f64;
-    let rate = |of: &dyn Fn(&Cost) -> f64| (mean(of, &after) - mean(of, &before)) / seconds;
+    let mean = |of: &dyn Fn(&ResourceUsage) -> f64, costs: &[ResourceUsage]| {
+        costs.iter().map(of).sum::<f64>() / costs.len() as f64
+    };
+    let rate = |of: &dyn Fn(&ResourceUsage) -> f64| (mean(of, &after) - mean(of, &before)) / seconds;
     recorder.note(Event::Rested {
         managers: after.len(),
         memory_kb: mean(&|cost| cost.memory_kb, &after),
-        wakes: rate(&|cost| cost.wakes),
-        cpu: rate(&|cost| cost.cpu),
+        wakes: rate(&|cost| cost.voluntary_context_switches),
+        cpu: rate(&|cost| cost.cpu_ms),
     });
 }
 
 /// Records the processor time that all managers have used over the day. Of a restarted manager, only its last
 /// process counts. `before` has the managers' costs at the start of the day.
-pub(super) fn record_cpu_time(managers: &[Manager], before: &[Option<Cost>], recorder: &Recorder) {
+pub(super) fn record_cpu_time(managers: &[Manager], before: &[Option<ResourceUsage>], recorder: &Recorder) {
     let mut cpu = 0.0;
     for (manager, before) in managers.iter().zip(before) {
-        let now = cost(manager.process.id()).map_or(0.0, |cost| cost.cpu);
-        cpu += now - before.filter(|_| manager.starts == 1).map_or(0.0, |cost| cost.cpu);
+        let now = resource_usage(manager.process.id()).map_or(0.0, |cost| cost.cpu_ms);
+        cpu += now - before.filter(|_| manager.starts == 1).map_or(0.0, |cost| cost.cpu_ms);
     }
     recorder.note(Event::Spent { cpu });
 }
--- a/daemon/src/trial/manager_process.rs
+++ b/daemon/src/trial/manager_process.rs
@@ -1,6 +1,6 @@
 //! A session manager as a process: its configuration file, its log, its signals.
 
-use ottersail_fault_injection::{cost, Cost, Process, Trouble};
+use ottersail_fault_injection::{resource_usage, FaultInjectionError, Process, ResourceUsage};
 use rustix::process::Signal;
 use serde_json::Value;
 use std::fs::File;
@@ -41,11 +41,11 @@
 }
 
 impl LaunchOptions {
-    fn failed(&self, cause: io::Error) -> Trouble {
-        Trouble::NotStarted { program: self.program.display().to_string(), cause }
+    fn failed(&self, cause: io::Error) -> FaultInjectionError {
+        FaultInjectionError::NotStarted { program: self.program.display().to_string(), cause }
     }
 
-    fn spawn(&self) -> Result<Process, Trouble> {
+    fn spawn(&self) -> Result<Process, FaultInjectionError> {
         let log = File::options().create(true).append(true).open(self.folder.join(LOG_FILE));
         let log = log.map_err(|cause| self.failed(cause))?;
         let mut command = Command::new("sh");
@@ -72,7 +72,7 @@
         number: usize,
         address: SocketAddr,
         config: &Value,
-    ) -> Result<ManagerProcess, Trouble> {
+    ) -> Result<ManagerProcess, FaultInjectionError> {
         let launch = LaunchOptions { folder: launch.folder.join(format!("n{number}")), ..launch.clone() };
         let written = std::fs::create_dir_all(&launch.folder)
             .and_then(|()| std::fs::write(launch.folder.join(CONFIG_FILE), config.to_string()));
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     /// As of [`ManagerProcess::start`].
-    pub fn restart(&mut self) -> Result<(), Trouble> {
+    pub fn restart(&mut self) -> Result<(), FaultInjectionError> {
         self.process.kill();
         self.process = self.launch.spawn()?;
         Ok(())
@@ -104,7 +104,7 @@
     /// Waits until the manager answers a request; false if it does not within `limit` or has ended.
     pub fn wait_ready(&mut self, limit: Duration) -> bool {
         let began = Instant::now();
-        while began.elapsed() < limit && self.process.ended().is_none() {
+        while began.elapsed() < limit && self.process.exit_status().is_none() {
             if is_ready(self.address) {
                 return true;
             }
@@ -130,12 +130,12 @@
 
     /// The exit code if the process has ended; the inner `None` stands for a signal.
     pub fn exit_code(&mut self) -> Option<Option<i32>> {
-        self.process.ended().map(|status| status.code())
+        self.process.exit_status().map(|status| status.code())
     }
 
     /// The memory and processor time that the process uses.
-    pub fn cost(&self) -> Option<Cost> {
-        cost(self.process.id())
+    pub fn cost(&self) -> Option<ResourceUsage> {
+        resource_usage(self.process.id())
     }
 
     /// Number of file descriptors that the process holds open.
--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -1,15 +1,15 @@
-//! The rig on which many processes are played against each other: wires between two parties that can be cut,
-//! reset, slowed, thinned, doubled, reordered, and cut one way only; processes that never outlive who started
-//! them, and what they cost.
+//! Fault injection for tests that run many processes: relays between two parties that can block, reset, delay,
+//! drop, duplicate and reorder traffic, in each direction separately; child processes that never outlive the
+//! process that started them, and their resource usage.
 
-mod exchange;
+mod datagram_relay;
+mod error;
+pub mod impairment;
 mod process;
 mod relay;
-mod trouble;
-pub mod wire;
 
-pub use exchange::Exchange;
-pub use process::{cost, Cost, Process};
+pub use datagram_relay::DatagramRelay;
+pub use error::FaultInjectionError;
+pub use impairment::{Direction, NetworkCondition};
+pub use process::{resource_usage, Process, ResourceUsage};
 pub use relay::Relay;
-pub use trouble::Trouble;
-pub use wire::{Condition, Way};
