--- a/bench/src/library.rs
+++ b/bench/src/library.rs
@@ -10,7 +10,7 @@
     Effects, Front, Ms, Placement, PlacementActions, Reply, RequestId, SetUp, SetUpEnd, TitleRequest,
 };
 use ottersail_signed_urls::Keys;
-use ottersail_wire::catalogue::{Listed, Standing, Title};
+use ottersail_wire::catalogue::{CatalogueServer, Standing, Title};
 use ottersail_wire::notes::Note;
 use ottersail_wire::report::Report;
 use std::path::Path;
@@ -45,8 +45,8 @@
     Keys::read("a AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA").map_err(|it| BenchError::Key(it.to_string()))
 }
 
-pub fn listed(ix: usize, address: String) -> Listed {
-    Listed {
+pub fn listed(ix: usize, address: String) -> CatalogueServer {
+    CatalogueServer {
         id: format!("box-{ix}"),
         address,
         standing: Standing::Up,
@@ -119,7 +119,7 @@
         let mut out = Out::default();
         let house = front_settings(&manager, keys()?);
         let mut front = Front::with_decisions(Ms(1e6), manager.terms, house, &mut out, decisions);
-        let list: Vec<Listed> =
+        let list: Vec<CatalogueServer> =
             (0..servers).map(|it| listed(it, format!("127.0.0.1:{}", 1000 + it))).collect();
         front.titles_listed(Ms(1e6), &titles(servers));
         front.servers_listed(Ms(1e6), 1, &list, &mut out);
--- a/daemon/src/worker.rs
+++ b/daemon/src/worker.rs
@@ -124,7 +124,8 @@
             CoreCommand::ChangeRung { viewing, address, rung } => self.spawn(async move {
                 let path = format!("/viewings/{vw}/rung/{rung}", vw = viewing);
                 let request = worker.request(Method::PUT, &address, &path);
-                let response = worker.client.exchange(&address, request, ottersail_hls::MOST_BYTES, || true);
+                let response =
+                    worker.client.exchange(&address, request, ottersail_hls::MAX_PLAYLIST_BYTES, || true);
                 let playlist = match within(END_TIMEOUT, response).await {
                     Some(Ok(answer)) if answer.status == StatusCode::OK => {
                         String::from_utf8(answer.body.to_vec()).ok()
--- a/daemon/src/worker/discovery.rs
+++ b/daemon/src/worker/discovery.rs
@@ -37,7 +37,8 @@
                 format!("/v1/kv/titles/?recurse&wait={wait}ms{from}")
             };
             let request = self.request(Method::GET, &settings.list, &path);
-            let response = self.client.exchange(&settings.list, request, catalogue::MOST_BYTES, || true);
+            let response =
+                self.client.exchange(&settings.list, request, catalogue::MAX_ANSWER_BYTES, || true);
             let timeout = Duration::from_secs_f64((wait * WAIT_FACTOR + WAIT_EXTRA_MS) / 1e3);
             let cause = match within(timeout, response).await {
                 Some(Ok(answer)) if answer.status == StatusCode::OK => {
--- a/daemon/src/worker/servers.rs
+++ b/daemon/src/worker/servers.rs
@@ -5,7 +5,7 @@
 use ottersail_front::recording::FrontInput;
 use ottersail_front::SetUpEnd;
 use ottersail_net::{Failure, Timer};
-use ottersail_wire::notes::{Note, Reader};
+use ottersail_wire::notes::{Note, NoteReader};
 use ottersail_wire::report::{self, Report};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -40,7 +40,8 @@
         }
         let may_send = || self.now() <= send_by_ms;
         let began = Instant::now();
-        let answer = self.client.exchange(&address, request, ottersail_hls::MOST_BYTES, may_send).await;
+        let answer =
+            self.client.exchange(&address, request, ottersail_hls::MAX_PLAYLIST_BYTES, may_send).await;
         self.shared.latencies.record_set_up(began.elapsed());
         let mut load = Report::default();
         let end = match answer {
@@ -114,11 +115,11 @@
                 Timer::after(NOTE_STREAM_RETRY).await;
             }
         }
-        let mut reader = Reader::default();
+        let mut reader = NoteReader::default();
         if let Some(mut stream) = stream {
             while let Some(Some(bytes)) = within(silence, stream.next()).await {
                 let mut notes = Vec::new();
-                let parsed = reader.take(&bytes, |note| notes.push(note));
+                let parsed = reader.feed(&bytes, |note| notes.push(note));
                 for note in notes.into_iter().filter(|note| *note != Note::Alive) {
                     self.send_event(FrontInput::NoteReceived { server: server.clone(), note }).await;
                 }
--- a/fake-servers/src/book.rs
+++ b/fake-servers/src/book.rs
@@ -1,7 +1,7 @@
 //! The list's book: who is told of, and when.
 
 use ottersail_invariants::record::Standing as Told;
-use ottersail_wire::catalogue::Listed;
+use ottersail_wire::catalogue::CatalogueServer;
 use std::collections::BTreeMap;
 
 pub(crate) const FIRST_INDEX: usize = 1000;
@@ -10,7 +10,7 @@
 #[derive(Default)]
 pub(crate) struct Book {
     /// By when they are seen: who changed, and to what.
-    changes: Vec<(f64, String, Option<Listed>)>,
+    changes: Vec<(f64, String, Option<CatalogueServer>)>,
     pub silent: bool,
     pub failing: bool,
     pub garbled: bool,
@@ -23,7 +23,7 @@
 }
 
 impl Book {
-    pub fn change(&mut self, now: f64, seen_at: f64, id: &str, entry: Option<Listed>) {
+    pub fn change(&mut self, now: f64, seen_at: f64, id: &str, entry: Option<CatalogueServer>) {
         // What was to be said of it later is overtaken.
         self.changes.retain(|it| it.0 <= now || it.1 != id || it.0 <= seen_at);
         self.changes.push((seen_at, id.to_string(), entry));
@@ -35,8 +35,8 @@
         FIRST_INDEX + self.changes.partition_point(|it| it.0 <= time)
     }
 
-    pub fn at(&self, time: f64) -> Vec<Listed> {
-        let mut list: BTreeMap<&str, &Listed> = BTreeMap::new();
+    pub fn at(&self, time: f64) -> Vec<CatalogueServer> {
+        let mut list: BTreeMap<&str, &CatalogueServer> = BTreeMap::new();
         for (_, id, entry) in self.changes.iter().take_while(|it| it.0 <= time) {
             match entry {
                 Some(entry) => _ = list.insert(id, entry),
--- a/fake-servers/src/list.rs
+++ b/fake-servers/src/list.rs
@@ -9,7 +9,9 @@
 use ottersail_invariants::record::Standing as Told;
 use ottersail_invariants::Event;
 use ottersail_net::{full_body, Body, ConnectionCounts, Listener, TaskGroup, Timer};
-use ottersail_wire::catalogue::{write_servers, write_titles, Listed, Standing, Title, INDEX_HEADER};
+use ottersail_wire::catalogue::{
+    write_servers, write_titles, CatalogueServer, Standing, Title, INDEX_HEADER,
+};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -71,7 +73,7 @@
 }
 
 /// Where a fault of the day may take a wire, the manager is told its end.
-fn by_wire(world: &mut World, manager: usize, list: &mut [Listed]) {
+fn by_wire(world: &mut World, manager: usize, list: &mut [CatalogueServer]) {
     if world.wires.is_empty() {
         return;
     }
@@ -104,7 +106,7 @@
 }
 
 /// Writes down what the manager is told anew.
-fn tell(world: &mut World, manager: usize, fresh: bool, list: &[Listed]) {
+fn tell(world: &mut World, manager: usize, fresh: bool, list: &[CatalogueServer]) {
     let told = world.book.told.entry(manager).or_default();
     if fresh {
         told.clear();
--- a/fake-servers/src/world.rs
+++ b/fake-servers/src/world.rs
@@ -8,7 +8,7 @@
 use ottersail_invariants::Event;
 use ottersail_net::{Executor, TaskGroup};
 use ottersail_signed_urls::Keys;
-use ottersail_wire::catalogue::{Listed, Standing};
+use ottersail_wire::catalogue::{CatalogueServer, Standing};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -86,9 +86,9 @@
         self.recorder.clock().now()
     }
 
-    pub fn listed(&self, id: &str) -> Option<Listed> {
+    pub fn listed(&self, id: &str) -> Option<CatalogueServer> {
         let (server, proc) = (self.fleet.servers.get(id)?, self.procs.get(id)?);
-        Some(Listed {
+        Some(CatalogueServer {
             id: id.to_string(),
             address: proc.address.to_string(),
             standing: if proc.draining { Standing::Draining } else { Standing::Up },
--- a/front/src/front/desk.rs
+++ b/front/src/front/desk.rs
@@ -10,7 +10,7 @@
 use ottersail::ids::{Rung, ServerId, ViewingId};
 use ottersail::placement::LIST_LAG_FALL_WINDOWS;
 use ottersail::time::Ms;
-use ottersail_hls::Source;
+use ottersail_hls::TitlePlaylist;
 use ottersail_wire::catalogue::Title;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Weak;
@@ -55,7 +55,7 @@
     /// Viewings that play or end at a server; its notes are listened to while there are any.
     pub(super) there: BTreeMap<ServerId, BTreeSet<ViewingId>>,
     /// By title and rung: the text, and what was read from it while anybody plays it.
-    pub(super) sources: BTreeMap<(String, usize), (Vec<u8>, Weak<Source>)>,
+    pub(super) sources: BTreeMap<(String, usize), (Vec<u8>, Weak<TitlePlaylist>)>,
     pub(super) sweep_sources_at: usize,
     pub(super) draining: bool,
     /// Until then servers that started before this manager may not be listed as they are (the module's
--- a/front/src/front/lists.rs
+++ b/front/src/front/lists.rs
@@ -6,12 +6,12 @@
 use ottersail::ids::Cell;
 use ottersail::state::{Availability, ListMode, ServerEntry};
 use ottersail::time::Ms;
-use ottersail_wire::catalogue::{Listed, Standing, Title};
+use ottersail_wire::catalogue::{CatalogueServer, Standing, Title};
 use tracing::info;
 
 impl Front {
     /// A whole list of servers came.
-    pub fn servers_listed(&mut self, now: Ms, index: u64, list: &[Listed], out: &mut dyn Effects) {
+    pub fn servers_listed(&mut self, now: Ms, index: u64, list: &[CatalogueServer], out: &mut dyn Effects) {
         let desk = self.at(now);
         for it in list {
             desk.addresses.insert(it.id.as_str().into(), it.address.clone());
--- a/front/src/front/playlists.rs
+++ b/front/src/front/playlists.rs
@@ -5,19 +5,23 @@
 use crate::effects::{Effects, Reply, WatchId};
 use crate::presence;
 use crate::watch::{Play, Stage, Watch};
-use ottersail_hls::{multivariant, read_source, Source, Trouble};
+use ottersail_hls::{multivariant, read_title_playlist, PlaylistError, TitlePlaylist};
 use ottersail_signed_urls::Claim;
 use std::rc::Rc;
 
 impl Desk {
     /// The same playlist is read and kept once, however many viewings play it.
-    pub(super) fn source(&mut self, key: (String, usize), text: &[u8]) -> Result<Rc<Source>, Trouble> {
+    pub(super) fn source(
+        &mut self,
+        key: (String, usize),
+        text: &[u8],
+    ) -> Result<Rc<TitlePlaylist>, PlaylistError> {
         if let Some((known, source)) = self.sources.get(&key) {
             if let Some(source) = source.upgrade().filter(|_| known == text) {
                 return Ok(source);
             }
         }
-        let source = Rc::new(read_source(text)?);
+        let source = Rc::new(read_title_playlist(text)?);
         if self.sources.len() >= self.sweep_sources_at {
             self.sources.retain(|_, it| it.1.strong_count() > 0);
             self.sweep_sources_at = (self.sources.len() * 2).max(64);
--- a/front/src/front/tune_ins.rs
+++ b/front/src/front/tune_ins.rs
@@ -10,7 +10,7 @@
 use ottersail::ids::{ServerId, TuneInIndex, ViewingId};
 use ottersail::state::{Load, Outcome, Topic};
 use ottersail::time::Ms;
-use ottersail_hls::Source;
+use ottersail_hls::TitlePlaylist;
 use ottersail_wire::report::Report;
 use std::rc::Rc;
 use tracing::{debug, info, warn};
@@ -63,7 +63,7 @@
         &mut self,
         vw: &ViewingId,
         server: &ServerId,
-        source: Rc<Source>,
+        source: Rc<TitlePlaylist>,
         report: Report,
         out: &mut dyn Effects,
     ) {
--- a/front/src/recording.rs
+++ b/front/src/recording.rs
@@ -5,7 +5,7 @@
 use crate::front::Front;
 use ottersail::ids::{Rung, ServerId, ViewingId};
 use ottersail::time::Ms;
-use ottersail_wire::catalogue::{Listed, Title};
+use ottersail_wire::catalogue::{CatalogueServer, Title};
 use ottersail_wire::notes::Note;
 use ottersail_wire::report::Report;
 use serde::{Deserialize, Serialize};
@@ -65,7 +65,7 @@
     #[serde(rename = "listed")]
     ServersListed {
         index: u64,
-        list: Vec<Listed>,
+        list: Vec<CatalogueServer>,
     },
     ListFailed,
     /// The answer to a probe, or `None` if there was none.
--- a/front/src/tests/stage.rs
+++ b/front/src/tests/stage.rs
@@ -5,7 +5,7 @@
 use crate::recording::EffectRecorder;
 use crate::{Effects, Front, FrontSettings, Ms, RequestId, SetUpEnd, TitleRequest, WatchId};
 use ottersail_signed_urls::Keys;
-use ottersail_wire::catalogue::{Listed, Standing, Title};
+use ottersail_wire::catalogue::{CatalogueServer, Standing, Title};
 use ottersail_wire::report::Report;
 use std::collections::BTreeMap;
 
@@ -83,8 +83,8 @@
     }
 }
 
-pub(super) fn listed(id: &str, cell: u64, standing: Standing) -> Listed {
-    Listed {
+pub(super) fn listed(id: &str, cell: u64, standing: Standing) -> CatalogueServer {
+    CatalogueServer {
         id: id.into(),
         address: format!("127.0.0.{}:80", cell + 1),
         standing,
@@ -96,7 +96,7 @@
     }
 }
 
-pub(super) fn three(standing: [Standing; 3]) -> Vec<Listed> {
+pub(super) fn three(standing: [Standing; 3]) -> Vec<CatalogueServer> {
     (0..3).map(|it| listed(&format!("box-{it}"), it as u64, standing[it])).collect()
 }
 
--- a/front/src/watch.rs
+++ b/front/src/watch.rs
@@ -4,7 +4,7 @@
 use crate::presence;
 use ottersail::ids::{PackageIndex, Rung, TenantIndex, ViewingId};
 use ottersail::time::Ms;
-use ottersail_hls::{Edition, Piece, Source};
+use ottersail_hls::{PublishedPlaylist, PublishedSegment, TitlePlaylist};
 use ottersail_signed_urls::{Claim, Keys};
 use std::rc::Rc;
 
@@ -14,7 +14,7 @@
     pub vw: ViewingId,
     pub address: String,
     pub rung: Rung,
-    pub source: Rc<Source>,
+    pub source: Rc<TitlePlaylist>,
 }
 
 #[derive(Debug)]
@@ -37,7 +37,7 @@
     /// Viewings so far.
     pub viewings: u32,
     pub stage: Stage,
-    pub edition: Edition,
+    pub edition: PublishedPlaylist,
     /// When the title's start would have played, had it played from there without a break.
     pub began: Ms,
     /// The title's number of the segment to publish next.
@@ -59,13 +59,13 @@
     pub fn play(&mut self, now: Ms, play: Play) {
         let before: f64 = play.source.segments.iter().take(self.next).map(|it| it.seconds).sum();
         self.began = now - Ms(before * 1e3);
-        self.seam = self.edition.next_number() > 0;
-        self.edition.aim_at(play.source.target);
+        self.seam = self.edition.next_sequence_number() > 0;
+        self.edition.set_target_duration(play.source.target);
         self.stage = Stage::Playing(play);
     }
 
     /// Another rung holds from the next piece on.
-    pub fn step(&mut self, rung: Rung, source: Rc<Source>) {
+    pub fn step(&mut self, rung: Rung, source: Rc<TitlePlaylist>) {
         if let Stage::Playing(play) = &mut self.stage {
             play.rung = rung;
             play.source = source;
@@ -80,7 +80,7 @@
             return None;
         };
         let played = now - self.began;
-        let upto = play.source.at_ms(presence::publish_to(played, target).0);
+        let upto = play.source.segment_at_ms(presence::publish_to(played, target).0);
         let rung = play.rung.0;
         let address = |what: &str| {
             let viewing = play.vw.to_string();
@@ -89,8 +89,8 @@
         };
         while self.next <= upto && self.next < play.source.segments.len() {
             let segment = &play.source.segments[self.next];
-            let new = self.seam || self.edition.last_index().is_none();
-            self.edition.publish(Piece {
+            let new = self.seam || self.edition.last_segment_index().is_none();
+            self.edition.publish(PublishedSegment {
                 index: self.next,
                 uri: address(&segment.uri),
                 map: play.source.map.as_deref().filter(|_| new).map(address),
@@ -99,7 +99,7 @@
             });
             (self.seam, self.next) = (false, self.next + 1);
         }
-        self.edition.slide(play.source.at_ms((played - target).0.max(0.0)));
+        self.edition.remove_before(play.source.segment_at_ms((played - target).0.max(0.0)));
         if self.next < play.source.segments.len() {
             return None;
         }
@@ -111,15 +111,15 @@
     pub fn break_off(&mut self, now: Ms) {
         if let Stage::Playing(play) = &self.stage {
             // Where it is by the clock, until the player says what it wants next.
-            self.next = play.source.at_ms((now - self.began).0.max(0.0)).min(self.next);
+            self.next = play.source.segment_at_ms((now - self.began).0.max(0.0)).min(self.next);
         }
         self.stage = Stage::Broken;
     }
 
     /// The viewer comes again, and may tell the number in the media sequence that it wants next.
     pub fn resume(&mut self, unread: Option<u64>) {
-        if self.edition.last_index().is_some() {
-            self.next = self.edition.withdraw(unread, self.next);
+        if self.edition.last_segment_index().is_some() {
+            self.next = self.edition.withdraw_all(unread, self.next);
         }
     }
 
--- a/hls/src/edition.rs
+++ b/hls/src/edition.rs
@@ -3,7 +3,7 @@
 
 /// One published segment.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Piece {
+pub struct PublishedSegment {
     /// Its number in the title.
     pub index: usize,
     pub uri: String,
@@ -17,35 +17,35 @@
 /// The media playlist that one viewing is given: it slides (RFC 8216, 6.2.2). Pieces go in at the end; they
 /// go out at the front, each counted in the media sequence, each lost discontinuity in its own.
 #[derive(Clone, Debug, Default)]
-pub struct Edition {
+pub struct PublishedPlaylist {
     target: u64,
     first: u64,
     discontinuities: u64,
-    pieces: VecDeque<Piece>,
+    pieces: VecDeque<PublishedSegment>,
     over: bool,
     /// The map in force at the first piece, if it was told by a piece that went out.
     map: Option<String>,
 }
 
-impl Edition {
+impl PublishedPlaylist {
     /// Number in the media sequence of the next piece to be published.
-    pub fn next_number(&self) -> u64 {
+    pub fn next_sequence_number(&self) -> u64 {
         self.first + self.pieces.len() as u64
     }
 
     /// The title's number of the last piece in the list.
-    pub fn last_index(&self) -> Option<usize> {
+    pub fn last_segment_index(&self) -> Option<usize> {
         self.pieces.back().map(|it| it.index)
     }
 
-    pub fn publish(&mut self, piece: Piece) {
+    pub fn publish(&mut self, piece: PublishedSegment) {
         // The target may never change in a playlist (6.2.1), so that it is taken from the first title's list;
         // rungs of a title are cut alike.
         self.pieces.push_back(piece);
     }
 
     /// Seconds; told once, before the first piece.
-    pub fn aim_at(&mut self, target: u64) {
+    pub fn set_target_duration(&mut self, target: u64) {
         self.target = self.target.max(target);
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// Takes out old pieces, but keeps as much behind that number as 6.2.2 wants: three targets' worth stay.
-    pub fn slide(&mut self, keep_from: usize) {
+    pub fn remove_before(&mut self, keep_from: usize) {
         let mut left: f64 = self.pieces.iter().map(|it| it.seconds).sum();
         while let Some(piece) = self.pieces.front() {
             left -= piece.seconds;
@@ -71,8 +71,8 @@
 
     /// The server of what is pending is lost: pieces from that number on are unread, and can't be had any
     /// more. All that is listed goes out; the title's number to go on from is returned.
-    pub fn withdraw(&mut self, unread: Option<u64>, by_time: usize) -> usize {
-        let next = self.last_index().map_or(0, |it| it + 1);
+    pub fn withdraw_all(&mut self, unread: Option<u64>, by_time: usize) -> usize {
+        let next = self.last_segment_index().map_or(0, |it| it + 1);
         let at = unread.and_then(|no| no.checked_sub(self.first)).map(|it| it as usize);
         let from = match at {
             Some(at) if at < self.pieces.len() => self.pieces[at].index,
--- a/hls/src/lib.rs
+++ b/hls/src/lib.rs
@@ -4,9 +4,9 @@
 mod source;
 mod trouble;
 
-pub use edition::{multivariant, Edition, Piece};
-pub use source::{read_source, Segment, Source};
-pub use trouble::{Trouble, MOST_BYTES, MOST_SEGMENTS};
+pub use edition::{multivariant, PublishedPlaylist, PublishedSegment};
+pub use source::{read_title_playlist, Segment, TitlePlaylist};
+pub use trouble::{PlaylistError, MAX_PLAYLIST_BYTES, MAX_SEGMENTS};
 
 #[cfg(test)]
 mod tests;
--- a/hls/src/trouble.rs
+++ b/hls/src/trouble.rs
@@ -3,15 +3,15 @@
 use thiserror::Error;
 
 /// A title's playlist may be so large.
-pub const MOST_BYTES: usize = 1 << 20;
+pub const MAX_PLAYLIST_BYTES: usize = 1 << 20;
 /// Segments that a title may have.
-pub const MOST_SEGMENTS: usize = 20_000;
+pub const MAX_SEGMENTS: usize = 20_000;
 
 /// What is wrong with a playlist from a server; segments are counted from 0.
 #[derive(Clone, Debug, PartialEq, Error)]
-pub enum Trouble {
+pub enum PlaylistError {
     #[error(
-        "the playlist is over {MOST_BYTES} bytes or {MOST_SEGMENTS} segments; cut the title into longer ones"
+        "the playlist is over {MAX_PLAYLIST_BYTES} bytes or {MAX_SEGMENTS} segments; cut the title into longer ones"
     )]
     TooLarge,
     #[error("the playlist is no media playlist (RFC 8216); see that the server lists one rung alone")]
--- a/membership/examples/forged.rs
+++ b/membership/examples/forged.rs
@@ -4,7 +4,7 @@
 use ottersail::time::Ms;
 use ottersail_membership::auth::{DatagramAuth, DatagramError, DropReason, Opened};
 use ottersail_membership::{Body, Incarnation, InstanceId, MemberId, Message};
-use ottersail_signed_urls::{Keys, Unusable};
+use ottersail_signed_urls::{Keys, KeysError};
 use std::time::Instant;
 use thiserror::Error;
 
@@ -19,7 +19,7 @@
 #[derive(Debug, Error)]
 enum ExampleError {
     #[error("the example's keys can't be read: {0}")]
-    Keys(#[from] Unusable),
+    Keys(#[from] KeysError),
     #[error("the example's message can't be sealed: {0}")]
     Seal(#[from] DatagramError),
     #[error("DatagramAuth {0}; run the package's tests")]
--- a/signed-urls/src/lib.rs
+++ b/signed-urls/src/lib.rs
@@ -9,7 +9,7 @@
 
 mod trouble;
 
-pub use trouble::{Denial, Unusable};
+pub use trouble::{Denial, KeysError};
 
 /// What a ticket is for. All of it is signed.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,30 +41,30 @@
     ///
     /// # Errors
     /// Says in which line what is wrong.
-    pub fn read(text: &str) -> Result<Keys, Unusable> {
+    pub fn read(text: &str) -> Result<Keys, KeysError> {
         let mut keys = Vec::new();
         let lines = text.lines().map(str::trim).enumerate();
         for (no, line) in lines.filter(|it| !it.1.is_empty() && !it.1.starts_with('#')) {
             let no = no + 1;
-            let (name, secret) = line.split_once(' ').ok_or(Unusable::Form { line: no })?;
+            let (name, secret) = line.split_once(' ').ok_or(KeysError::Form { line: no })?;
             if name.is_empty() || !name.chars().all(|it| it.is_ascii_alphanumeric()) {
-                return Err(Unusable::Name { line: no, name: name.into() });
+                return Err(KeysError::Name { line: no, name: name.into() });
             }
             let key = || name.to_string();
             let secret = URL_SAFE_NO_PAD
                 .decode(secret.trim().trim_end_matches('='))
-                .map_err(|_| Unusable::Secret { line: no, key: key() })?;
+                .map_err(|_| KeysError::Secret { line: no, key: key() })?;
             if secret.len() < LEAST_BYTES {
-                return Err(Unusable::Short { line: no, key: key(), bytes: secret.len() });
+                return Err(KeysError::Short { line: no, key: key(), bytes: secret.len() });
             }
             if keys.iter().any(|it: &(String, Vec<u8>)| it.0 == name) {
-                return Err(Unusable::Twice { line: no, key: key() });
+                return Err(KeysError::Twice { line: no, key: key() });
             }
             keys.push((name.to_string(), secret));
         }
         match keys.len() {
             1 | 2 => Ok(Keys(keys)),
-            found => Err(Unusable::Count { found }),
+            found => Err(KeysError::Count { found }),
         }
     }
 
--- a/signed-urls/src/tests.rs
+++ b/signed-urls/src/tests.rs
@@ -49,17 +49,17 @@
     }
 }
 
-#[test_case("k", Unusable::Form { line: 1 }, "line 1", "write `name secret`"; "no secret")]
-#[test_case("# keys\nk! AAAA", Unusable::Name { line: 2, name: "k!".into() }, "line 2",
+#[test_case("k", KeysError::Form { line: 1 }, "line 1", "write `name secret`"; "no secret")]
+#[test_case("# keys\nk! AAAA", KeysError::Name { line: 2, name: "k!".into() }, "line 2",
     "letters and digits"; "a name")]
-#[test_case("k ***", Unusable::Secret { line: 1, key: "k".into() }, "secret of k",
+#[test_case("k ***", KeysError::Secret { line: 1, key: "k".into() }, "secret of k",
     "openssl rand"; "no base64url")]
-#[test_case("k AAAA", Unusable::Short { line: 1, key: "k".into(), bytes: 3 }, "secret of k",
+#[test_case("k AAAA", KeysError::Short { line: 1, key: "k".into(), bytes: 3 }, "secret of k",
     "use 16 or more"; "short")]
-#[test_case(&format!("k {0}\n\nk {0}", "A".repeat(32)), Unusable::Twice { line: 3, key: "k".into() },
+#[test_case(&format!("k {0}\n\nk {0}", "A".repeat(32)), KeysError::Twice { line: 3, key: "k".into() },
     "line 3", "another name"; "twice")]
-#[test_case("# none", Unusable::Count { found: 0 }, "the keys' file", "one or two lines"; "none")]
-fn unusable_keys_say_where_and_what_to_try(text: &str, expected: Unusable, place: &str, advice: &str) {
+#[test_case("# none", KeysError::Count { found: 0 }, "the keys' file", "one or two lines"; "none")]
+fn unusable_keys_say_where_and_what_to_try(text: &str, expected: KeysError, place: &str, advice: &str) {
     let told = Keys::read(text).err();
     assert_eq!(told.as_ref(), Some(&expected));
     let told = told.map_or(String::new(), |it| it.to_string());
--- a/signed-urls/src/trouble.rs
+++ b/signed-urls/src/trouble.rs
@@ -5,7 +5,7 @@
 
 /// What is wrong with a text of keys. The lines are those of the keys' file; a secret is never told.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Unusable {
+pub enum KeysError {
     #[error("line {line} of the keys: no name and secret; write `name secret`, with a space between them")]
     Form { line: usize },
     #[error("line {line} of the keys: the name {name:?} can't be one; use letters and digits alone")]
--- a/simulation/src/model.rs
+++ b/simulation/src/model.rs
@@ -29,7 +29,7 @@
 use ottersail_front::recording::FrontInput;
 use ottersail_front::{Ms, Placement, PlacementActions};
 use ottersail_signed_urls::Keys;
-use ottersail_wire::catalogue::Listed;
+use ottersail_wire::catalogue::CatalogueServer;
 use std::collections::BTreeMap;
 
 /// The first moment of a day, in milliseconds since 1970.
@@ -58,8 +58,8 @@
     /// `None`: parts by number, as without a council.
     parts: Option<Parts>,
     /// What is known of each server, by when the list tells it.
-    news: Vec<(f64, ServerNo, Option<Listed>)>,
-    list: BTreeMap<usize, Listed>,
+    news: Vec<(f64, ServerNo, Option<CatalogueServer>)>,
+    list: BTreeMap<usize, CatalogueServer>,
     index: u64,
     list_held: bool,
     reports_late: f64,
--- a/simulation/src/model/list.rs
+++ b/simulation/src/model/list.rs
@@ -6,7 +6,7 @@
 use crate::links::{Manager, ServerNo};
 use crate::player::address;
 use ottersail_front::recording::FrontInput;
-use ottersail_wire::catalogue::{Listed, Standing};
+use ottersail_wire::catalogue::{CatalogueServer, Standing};
 
 /// The list's news reach a manager within so long of being told, in milliseconds.
 const PICK_UP: f64 = 50.0;
@@ -14,7 +14,7 @@
 impl Model {
     pub(super) fn publish(&mut self, it: ServerNo, after: f64) {
         let server = &self.links.servers[it.0];
-        let listed = server.alive.then(|| Listed {
+        let listed = server.alive.then(|| CatalogueServer {
             id: name(it),
             address: address(it),
             standing: if server.draining { Standing::Draining } else { Standing::Up },
@@ -49,7 +49,7 @@
                 None => _ = self.list.remove(&it.0),
             }
         }
-        let list: Vec<Listed> = self.list.values().cloned().collect();
+        let list: Vec<CatalogueServer> = self.list.values().cloned().collect();
         for ix in 0..self.posts.len() {
             let span = self.rng.f64() * PICK_UP;
             self.notify(
--- a/wire/src/catalogue.rs
+++ b/wire/src/catalogue.rs
@@ -7,11 +7,11 @@
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 
-pub use crate::trouble::Unusable;
+pub use crate::trouble::CatalogueError;
 
 pub const INDEX_HEADER: &str = "x-consul-index";
 /// An answer may be so large.
-pub const MOST_BYTES: usize = 8 << 20;
+pub const MAX_ANSWER_BYTES: usize = 8 << 20;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -23,7 +23,7 @@
 
 /// A streaming server as the catalogue lists it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct CatalogueServer {
     pub id: String,
     /// `host:port`.
     pub address: String,
@@ -56,33 +56,33 @@
 ///
 /// # Errors
 /// An entry that lacks something or holds nonsense, or a server that is there twice: half a list is none.
-pub fn read_servers(text: &[u8]) -> Result<Vec<Listed>, Unusable> {
-    let rows: Vec<Value> = serde_json::from_slice(text).map_err(Unusable::not_a_list)?;
+pub fn read_servers(text: &[u8]) -> Result<Vec<CatalogueServer>, CatalogueError> {
+    let rows: Vec<Value> = serde_json::from_slice(text).map_err(CatalogueError::not_a_list)?;
     let mut seen = BTreeSet::new();
     let mut list = Vec::with_capacity(rows.len());
     for (row, it) in rows.iter().enumerate() {
         let server = read_server(row, it)?;
         if !seen.insert(server.id.clone()) {
-            return Err(Unusable::Twice { id: server.id });
+            return Err(CatalogueError::Twice { id: server.id });
         }
         list.push(server);
     }
     Ok(list)
 }
 
-fn read_server(no: usize, row: &Value) -> Result<Listed, Unusable> {
+fn read_server(no: usize, row: &Value) -> Result<CatalogueServer, CatalogueError> {
     let (service, meta) = (&row["Service"], &row["Service"]["Meta"]);
     let id = service["ID"].as_str().unwrap_or("");
     if !plain(id) {
-        return Err(Unusable::ServerId { row: no, id: id.into() });
+        return Err(CatalogueError::ServerId { row: no, id: id.into() });
     }
     let text = |key: &str| meta[key].as_str().filter(|it| plain(it)).map(str::to_string);
-    let bad = |key: &'static str| Unusable::Meta { id: id.into(), key };
+    let bad = |key: &'static str| CatalogueError::Meta { id: id.into(), key };
     let want = |key: &'static str| text(key).ok_or_else(|| bad(key));
     let port = service["Port"].as_u64().filter(|it| (1..=65_535).contains(it));
     let host = service["Address"].as_str().filter(|it| plain(it));
     let (Some(port), Some(host)) = (port, host) else {
-        return Err(Unusable::Address { id: id.into() });
+        return Err(CatalogueError::Address { id: id.into() });
     };
     let weight = want("weight")?.parse::<f64>().unwrap_or(f64::NAN);
     if !(weight.is_finite() && weight > 0.0 && weight < 1e6) {
@@ -95,7 +95,7 @@
     let checks = row["Checks"].as_array().map_or(&[][..], Vec::as_slice);
     let passing = checks.iter().all(|it| it["Status"] == "passing");
     let draining = !passing || meta["state"] == "draining";
-    Ok(Listed {
+    Ok(CatalogueServer {
         address: format!("{host}:{port}"),
         standing: if draining { Standing::Draining } else { Standing::Up },
         zone: want("zone")?,
@@ -108,8 +108,8 @@
 }
 
 /// Writes a list as a catalogue would.
-pub fn write_servers(list: &[Listed]) -> String {
-    let row = |it: &Listed| {
+pub fn write_servers(list: &[CatalogueServer]) -> String {
+    let row = |it: &CatalogueServer| {
         let (host, port) = it.address.rsplit_once(':').unwrap_or((&it.address, "0"));
         let port = port.parse::<u64>().unwrap_or(0);
         let state = if it.standing == Standing::Up { "up" } else { "draining" };
@@ -133,18 +133,18 @@
 ///
 /// # Errors
 /// A value that is not what a title's should be.
-pub fn read_titles(text: &[u8]) -> Result<Vec<Title>, Unusable> {
-    let rows: Vec<Value> = serde_json::from_slice(text).map_err(Unusable::not_a_list)?;
+pub fn read_titles(text: &[u8]) -> Result<Vec<Title>, CatalogueError> {
+    let rows: Vec<Value> = serde_json::from_slice(text).map_err(CatalogueError::not_a_list)?;
     let title = |(no, row): (usize, &Value)| {
         let name = row["Key"].as_str().and_then(|it| it.strip_prefix("titles/")).unwrap_or("");
         if !plain(name) {
-            return Err(Unusable::TitleKey { row: no, key: row["Key"].to_string() });
+            return Err(CatalogueError::TitleKey { row: no, key: row["Key"].to_string() });
         }
         let value = row["Value"].as_str().and_then(|it| STANDARD.decode(it).ok()).unwrap_or_default();
         let title: Result<Title, _> = serde_json::from_slice(&value);
         match title {
             Ok(title) if title.copies > 0 => Ok(Title { name: name.into(), ..title }),
-            _ => Err(Unusable::Title { name: name.into() }),
+            _ => Err(CatalogueError::Title { name: name.into() }),
         }
     };
     rows.iter().enumerate().map(title).collect()
@@ -165,8 +165,8 @@
     use proptest::test_runner::RngSeed;
     use test_case::test_case;
 
-    fn listed(id: &str) -> Listed {
-        Listed {
+    fn listed(id: &str) -> CatalogueServer {
+        CatalogueServer {
             id: id.into(),
             address: "127.0.0.1:80".into(),
             standing: Standing::Draining,
@@ -180,7 +180,10 @@
 
     #[test]
     fn a_list_comes_through() {
-        let list = vec![listed("b-1"), Listed { started_ms: None, standing: Standing::Up, ..listed("b-2") }];
+        let list = vec![
+            listed("b-1"),
+            CatalogueServer { started_ms: None, standing: Standing::Up, ..listed("b-2") },
+        ];
         assert_eq!(read_servers(write_servers(&list).as_bytes()), Ok(list));
         let titles = vec![Title { name: "t-1".into(), base: 4, copies: 3 }];
         assert_eq!(read_titles(write_titles(&titles).as_bytes()), Ok(titles));
@@ -199,7 +202,7 @@
 
     #[test]
     fn a_failing_check_is_a_drain() {
-        let text = write_servers(&[Listed { standing: Standing::Up, ..listed("b") }]);
+        let text = write_servers(&[CatalogueServer { standing: Standing::Up, ..listed("b") }]);
         let text = text.replace("\"passing\"", "\"critical\"");
         assert_eq!(read_servers(text.as_bytes()).unwrap()[0].standing, Standing::Draining);
     }
--- a/wire/src/notes.rs
+++ b/wire/src/notes.rs
@@ -4,7 +4,7 @@
 use crate::trouble::MOST_LINE;
 use serde::{Deserialize, Serialize};
 
-pub use crate::trouble::Garbled;
+pub use crate::trouble::NoteStreamError;
 
 /// Why a viewing ended at its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -45,48 +45,49 @@
 
 /// Reads a stream piece by piece.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct NoteReader {
     line: Vec<u8>,
     event: String,
     data: String,
 }
 
-impl Reader {
+impl NoteReader {
     /// Takes what has come; gives each note that is whole.
     ///
     /// # Errors
-    /// [`Garbled`] if a line is too long or an event can't be read: the stream is of no use any more.
-    pub fn take(&mut self, bytes: &[u8], mut found: impl FnMut(Note)) -> Result<(), Garbled> {
+    /// [`NoteStreamError`] if a line is too long or an event can't be read: the stream is of no use any more.
+    pub fn feed(&mut self, bytes: &[u8], mut found: impl FnMut(Note)) -> Result<(), NoteStreamError> {
         for byte in bytes {
             match byte {
                 b'\n' => {
                     let line = std::mem::take(&mut self.line);
-                    let line = std::str::from_utf8(&line).map_err(|_| Garbled::NotText)?;
+                    let line = std::str::from_utf8(&line).map_err(|_| NoteStreamError::NotText)?;
                     if let Some(note) = self.line(line.trim_end_matches('\r'))? {
                         found(note);
                     }
                 }
-                _ if self.line.len() >= MOST_LINE => return Err(Garbled::LongLine),
+                _ if self.line.len() >= MOST_LINE => return Err(NoteStreamError::LongLine),
                 byte => self.line.push(*byte),
             }
         }
         Ok(())
     }
 
-    fn line(&mut self, line: &str) -> Result<Option<Note>, Garbled> {
+    fn line(&mut self, line: &str) -> Result<Option<Note>, NoteStreamError> {
         if line.is_empty() {
             let (event, data) = (std::mem::take(&mut self.event), std::mem::take(&mut self.data));
             return match event.as_str() {
                 "load" => Report::read_json(&data)
                     .map(|it| Some(Note::Load(it)))
-                    .ok_or(Garbled::Event { event: "load" }),
+                    .ok_or(NoteStreamError::Event { event: "load" }),
                 "ended" => {
                     #[derive(Deserialize)]
                     struct Ended {
                         viewing: String,
                         cause: EndCause,
                     }
-                    let ended = serde_json::from_str(&data).map_err(|_| Garbled::Event { event: "ended" });
+                    let ended =
+                        serde_json::from_str(&data).map_err(|_| NoteStreamError::Event { event: "ended" });
                     let Ended { viewing, cause } = ended?;
                     Ok(Some(Note::Ended { viewing, cause }))
                 }
@@ -98,9 +99,9 @@
             Some(("", _)) => return Ok(Some(Note::Alive)),
             Some(("event", value)) => self.event = value.trim().into(),
             Some(("data", value)) if self.data.len() < MOST_LINE => self.data.push_str(value.trim()),
-            Some(("data", _)) => return Err(Garbled::LongLine),
+            Some(("data", _)) => return Err(NoteStreamError::LongLine),
             Some(("id" | "retry", _)) => {}
-            _ => return Err(Garbled::NoField { line: line.chars().take(40).collect() }),
+            _ => return Err(NoteStreamError::NoField { line: line.chars().take(40).collect() }),
         }
         Ok(None)
     }
@@ -112,10 +113,10 @@
     use proptest::prelude::*;
     use proptest::test_runner::RngSeed;
 
-    fn read(bytes: &[u8], cut: usize) -> Result<Vec<Note>, Garbled> {
-        let (mut reader, mut notes) = (Reader::default(), Vec::new());
+    fn read(bytes: &[u8], cut: usize) -> Result<Vec<Note>, NoteStreamError> {
+        let (mut reader, mut notes) = (NoteReader::default(), Vec::new());
         for part in bytes.chunks(cut.max(1)) {
-            reader.take(part, |it| notes.push(it))?;
+            reader.feed(part, |it| notes.push(it))?;
         }
         Ok(notes)
     }
@@ -141,11 +142,14 @@
 
     #[test]
     fn what_is_no_stream_is_told() {
-        assert_eq!(read(&[b'x'; 5000], 64), Err(Garbled::LongLine));
+        assert_eq!(read(&[b'x'; 5000], 64), Err(NoteStreamError::LongLine));
         let line = "HTTP/1.1 200 OK".into();
-        assert_eq!(read(b"HTTP/1.1 200 OK\n\n", 64), Err(Garbled::NoField { line }));
-        assert_eq!(read(b"event: \xff\n\n", 64), Err(Garbled::NotText));
-        assert_eq!(read(b"event: load\ndata: nonsense\n\n", 64), Err(Garbled::Event { event: "load" }));
+        assert_eq!(read(b"HTTP/1.1 200 OK\n\n", 64), Err(NoteStreamError::NoField { line }));
+        assert_eq!(read(b"event: \xff\n\n", 64), Err(NoteStreamError::NotText));
+        assert_eq!(
+            read(b"event: load\ndata: nonsense\n\n", 64),
+            Err(NoteStreamError::Event { event: "load" })
+        );
         assert_eq!(read(b"event: later\ndata: x\n\n", 64), Ok(vec![]));
     }
 }
--- a/wire/src/trouble.rs
+++ b/wire/src/trouble.rs
@@ -7,7 +7,7 @@
 
 /// What is wrong with an answer of the catalogue; none of it is used then. Rows are counted from 0.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Unusable {
+pub enum CatalogueError {
     #[error(
         "the catalogue's answer is not a list in JSON, {cause}; see that the list's address is a catalogue's"
     )]
@@ -34,15 +34,15 @@
     Title { name: String },
 }
 
-impl Unusable {
-    pub(crate) fn not_a_list(cause: serde_json::Error) -> Unusable {
-        Unusable::NotAList { cause: cause.to_string() }
+impl CatalogueError {
+    pub(crate) fn not_a_list(cause: serde_json::Error) -> CatalogueError {
+        CatalogueError::NotAList { cause: cause.to_string() }
     }
 }
 
 /// A server speaks something else than notes; the stream is of no use any more.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum Garbled {
+pub enum NoteStreamError {
     #[error("a line of the notes is over {MOST_LINE} bytes; see that the address is a streaming server's")]
     LongLine,
     #[error("a line of the notes is not UTF-8; see that the address is a streaming server's")]
@@ -67,20 +67,20 @@
 
     #[test_case(read_servers(b"<html>").unwrap_err(), "line 1 column 1", "is a catalogue's"; "not a list")]
     #[test_case(read_servers(b"[{}]").unwrap_err(), "row 0: Service.ID \"\"", "letters"; "a server's id")]
-    #[test_case(Unusable::Twice { id: id() }, "server box-1", "take one"; "twice")]
-    #[test_case(Unusable::Address { id: id() }, "box-1: Service.Address", "register both"; "an address")]
-    #[test_case(Unusable::Meta { id: id(), key: "cell" }, "box-1: Service.Meta.cell", "register it"; "a key")]
+    #[test_case(CatalogueError::Twice { id: id() }, "server box-1", "take one"; "twice")]
+    #[test_case(CatalogueError::Address { id: id() }, "box-1: Service.Address", "register both"; "an address")]
+    #[test_case(CatalogueError::Meta { id: id(), key: "cell" }, "box-1: Service.Meta.cell", "register it"; "a key")]
     #[test_case(read_titles(b"[{\"Key\":\"x\"}]").unwrap_err(), "row 0: \"x\"", "titles/NAME"; "a key")]
     #[test_case(read_titles(b"[{\"Key\":\"titles/t\"}]").unwrap_err(), "titles/t", "\"base\""; "a title")]
-    fn what_is_unusable_says_where_and_what_to_try(told: Unusable, place: &str, advice: &str) {
+    fn what_is_unusable_says_where_and_what_to_try(told: CatalogueError, place: &str, advice: &str) {
         checked(&told.to_string(), place, advice);
     }
 
-    #[test_case(Garbled::LongLine, "a line of the notes", "address"; "a long line")]
-    #[test_case(Garbled::NotText, "a line of the notes", "address"; "no text")]
-    #[test_case(Garbled::Event { event: "load" }, "event \"load\"", "release"; "an event")]
-    #[test_case(Garbled::NoField { line: "HTTP".into() }, "line \"HTTP\"", "address"; "no field")]
-    fn what_is_garbled_says_where_and_what_to_try(told: Garbled, place: &str, advice: &str) {
+    #[test_case(NoteStreamError::LongLine, "a line of the notes", "address"; "a long line")]
+    #[test_case(NoteStreamError::NotText, "a line of the notes", "address"; "no text")]
+    #[test_case(NoteStreamError::Event { event: "load" }, "event \"load\"", "release"; "an event")]
+    #[test_case(NoteStreamError::NoField { line: "HTTP".into() }, "line \"HTTP\"", "address"; "no field")]
+    fn what_is_garbled_says_where_and_what_to_try(told: NoteStreamError, place: &str, advice: &str) {
         checked(&told.to_string(), place, advice);
     }
 
