--- a/wire/src/catalogue.rs
+++ b/wire/src/catalogue.rs
@@ -1,5 +1,6 @@
-//! The list of servers and of titles, in the manner of a service catalogue that is asked by blocking queries:
-//! `/v1/health/service/NAME?index=N&wait=10s` answers once its index has passed N, or after the wait.
+//! Lists of servers and titles in the format of a Consul service catalogue. The catalogue is read with blocking
+//! queries: `/v1/health/service/NAME?index=N&wait=10s` answers once the index is greater than N, or after the
+//! wait time.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -7,37 +8,43 @@
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 
-pub use crate::trouble::CatalogueError;
+pub use crate::error::CatalogueError;
 
+/// Name of the response header that carries the index of the catalogue.
 pub const INDEX_HEADER: &str = "x-consul-index";
-/// An answer may be so large.
+/// Maximum size of an answer, in bytes.
 pub const MAX_ANSWER_BYTES: usize = 8 << 20;
 
+/// Whether a listed server accepts new viewings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Standing {
+    /// The server accepts new viewings.
     Up,
-    /// Winding up: nothing new.
+    /// The server is being drained: it gets no new viewings.
     Draining,
 }
 
-/// A streaming server as the catalogue lists it.
+/// Entry of a streaming server in the catalogue.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CatalogueServer {
     pub id: String,
     /// `host:port`.
     pub address: String,
     pub standing: Standing,
+    /// Name of the zone that holds the server.
     pub zone: String,
+    /// Kind of the server's hardware.
     pub kind: String,
+    /// Number of the cell that the server belongs to.
     pub cell: u64,
-    /// Its link over the usual link.
+    /// Capacity of the server's link divided by that of the usual link.
     pub weight: f64,
-    /// When it started, in milliseconds since 1970, if lately.
+    /// Start time in milliseconds since the Unix epoch, if the server started recently.
     pub started_ms: Option<f64>,
 }
 
-/// A title and where it lies: in `copies` cells from `base` on.
+/// A title and its location: `copies` consecutive cells, of which `base` is the first.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Title {
     #[serde(default)]
@@ -46,81 +53,83 @@
     pub copies: u64,
 }
 
-/// Letters, digits and a few marks, so that it can stand in a path and a log.
-fn plain(text: &str) -> bool {
-    let mark = |it: char| it.is_ascii_alphanumeric() || matches!(it, '-' | '_' | '.' | ':');
-    !text.is_empty() && text.len() <= 100 && text.chars().all(mark)
+/// Whether the text consists only of ASCII letters, digits and `-_.:` (at most 100 of them), so that it is safe
+/// in paths and logs.
+fn is_safe_name(text: &str) -> bool {
+    let allowed = |symbol: char| symbol.is_ascii_alphanumeric() || matches!(symbol, '-' | '_' | '.' | ':');
+    !text.is_empty() && text.len() <= 100 && text.chars().all(allowed)
 }
 
-/// Reads a list of servers.
+/// Parses a list of servers.
 ///
 /// # Errors
-/// An entry that lacks something or holds nonsense, or a server that is there twice: half a list is none.
+/// Returns an error if an entry is incomplete or invalid, or if a server is listed twice. The whole list is
+/// then rejected, since a partial list must not be used.
 pub fn read_servers(text: &[u8]) -> Result<Vec<CatalogueServer>, CatalogueError> {
     let rows: Vec<Value> = serde_json::from_slice(text).map_err(CatalogueError::not_a_list)?;
     let mut seen = BTreeSet::new();
     let mut list = Vec::with_capacity(rows.len());
-    for (row, it) in rows.iter().enumerate() {
-        let server = read_server(row, it)?;
+    for (row, entry) in rows.iter().enumerate() {
+        let server = read_server(row, entry)?;
         if !seen.insert(server.id.clone()) {
-            return Err(CatalogueError::Twice { id: server.id });
+            return Err(CatalogueError::DuplicateServer { id: server.id });
         }
         list.push(server);
     }
     Ok(list)
 }
 
-fn read_server(no: usize, row: &Value) -> Result<CatalogueServer, CatalogueError> {
-    let (service, meta) = (&row["Service"], &row["Service"]["Meta"]);
+fn read_server(row: usize, entry: &Value) -> Result<CatalogueServer, CatalogueError> {
+    let (service, meta) = (&entry["Service"], &entry["Service"]["Meta"]);
     let id = service["ID"].as_str().unwrap_or("");
-    if !plain(id) {
-        return Err(CatalogueError::ServerId { row: no, id: id.into() });
+    if !is_safe_name(id) {
+        return Err(CatalogueError::InvalidServerId { row, id: id.into() });
     }
-    let text = |key: &str| meta[key].as_str().filter(|it| plain(it)).map(str::to_string);
-    let bad = |key: &'static str| CatalogueError::Meta { id: id.into(), key };
-    let want = |key: &'static str| text(key).ok_or_else(|| bad(key));
-    let port = service["Port"].as_u64().filter(|it| (1..=65_535).contains(it));
-    let host = service["Address"].as_str().filter(|it| plain(it));
+    let text = |key: &str| meta[key].as_str().filter(|text| is_safe_name(text)).map(str::to_string);
+    let invalid = |key: &'static str| CatalogueError::InvalidMeta { id: id.into(), key };
+    let required = |key: &'static str| text(key).ok_or_else(|| invalid(key));
+    let port = service["Port"].as_u64().filter(|port| (1..=65_535).contains(port));
+    let host = service["Address"].as_str().filter(|text| is_safe_name(text));
     let (Some(port), Some(host)) = (port, host) else {
-        return Err(CatalogueError::Address { id: id.into() });
+        return Err(CatalogueError::InvalidAddress { id: id.into() });
     };
-    let weight = want("weight")?.parse::<f64>().unwrap_or(f64::NAN);
+    let weight = required("weight")?.parse::<f64>().unwrap_or(f64::NAN);
     if !(weight.is_finite() && weight > 0.0 && weight < 1e6) {
-        return Err(bad("weight"));
+        return Err(invalid("weight"));
     }
-    let Ok(cell) = want("cell")?.parse::<u64>() else {
-        return Err(bad("cell"));
+    let Ok(cell) = required("cell")?.parse::<u64>() else {
+        return Err(invalid("cell"));
     };
-    let started = text("started-ms").and_then(|it| it.parse::<f64>().ok());
-    let checks = row["Checks"].as_array().map_or(&[][..], Vec::as_slice);
-    let passing = checks.iter().all(|it| it["Status"] == "passing");
+    let started = text("started-ms").and_then(|started| started.parse::<f64>().ok());
+    let checks = entry["Checks"].as_array().map_or(&[][..], Vec::as_slice);
+    let passing = checks.iter().all(|check| check["Status"] == "passing");
     let draining = !passing || meta["state"] == "draining";
     Ok(CatalogueServer {
         address: format!("{host}:{port}"),
         standing: if draining { Standing::Draining } else { Standing::Up },
-        zone: want("zone")?,
-        kind: want("kind")?,
+        zone: required("zone")?,
+        kind: required("kind")?,
         cell,
         weight,
-        started_ms: started.filter(|it| it.is_finite() && *it > 0.0),
+        started_ms: started.filter(|started_ms| started_ms.is_finite() && *started_ms > 0.0),
         id: id.to_string(),
     })
 }
 
-/// Writes a list as a catalogue would.
+/// Formats a list of servers as the catalogue's answer.
 pub fn write_servers(list: &[CatalogueServer]) -> String {
-    let row = |it: &CatalogueServer| {
-        let (host, port) = it.address.rsplit_once(':').unwrap_or((&it.address, "0"));
+    let row = |server: &CatalogueServer| {
+        let (host, port) = server.address.rsplit_once(':').unwrap_or((&server.address, "0"));
         let port = port.parse::<u64>().unwrap_or(0);
-        let state = if it.standing == Standing::Up { "up" } else { "draining" };
+        let state = if server.standing == Standing::Up { "up" } else { "draining" };
         json!({
-            "Node": { "Node": it.id },
+            "Node": { "Node": server.id },
             "Service": {
-                "ID": it.id, "Service": "streaming", "Address": host, "Port": port,
+                "ID": server.id, "Service": "streaming", "Address": host, "Port": port,
                 "Meta": {
-                    "zone": it.zone, "kind": it.kind, "cell": it.cell.to_string(),
-                    "weight": it.weight.to_string(),
-                    "started-ms": it.started_ms.unwrap_or(0.0).to_string(), "state": state,
+                    "zone": server.zone, "kind": server.kind, "cell": server.cell.to_string(),
+                    "weight": server.weight.to_string(),
+                    "started-ms": server.started_ms.unwrap_or(0.0).to_string(), "state": state,
                 },
             },
             "Checks": [{ "Status": "passing" }],
@@ -129,31 +138,33 @@
     Value::Array(list.iter().map(row).collect()).to_string()
 }
 
-/// Reads the titles of a recursive key query below `titles/`.
+/// Parses the answer to a recursive key query below `titles/`.
 ///
 /// # Errors
-/// A value that is not what a title's should be.
+/// Returns an error if a key or value is not valid for a title.
 pub fn read_titles(text: &[u8]) -> Result<Vec<Title>, CatalogueError> {
     let rows: Vec<Value> = serde_json::from_slice(text).map_err(CatalogueError::not_a_list)?;
-    let title = |(no, row): (usize, &Value)| {
-        let name = row["Key"].as_str().and_then(|it| it.strip_prefix("titles/")).unwrap_or("");
-        if !plain(name) {
-            return Err(CatalogueError::TitleKey { row: no, key: row["Key"].to_string() });
+    let read_title = |(row, entry): (usize, &Value)| {
+        let name = entry["Key"].as_str().and_then(|key| key.strip_prefix("titles/")).unwrap_or("");
+        if !is_safe_name(name) {
+            return Err(CatalogueError::InvalidTitleKey { row, key: entry["Key"].to_string() });
         }
-        let value = row["Value"].as_str().and_then(|it| STANDARD.decode(it).ok()).unwrap_or_default();
+        let value =
+            entry["Value"].as_str().and_then(|encoded| STANDARD.decode(encoded).ok()).unwrap_or_default();
         let title: Result<Title, _> = serde_json::from_slice(&value);
         match title {
             Ok(title) if title.copies > 0 => Ok(Title { name: name.into(), ..title }),
-            _ => Err(CatalogueError::Title { name: name.into() }),
+            _ => Err(CatalogueError::InvalidTitle { name: name.into() }),
         }
     };
-    rows.iter().enumerate().map(title).collect()
+    rows.iter().enumerate().map(read_title).collect()
 }
 
+/// Formats titles as the catalogue's answer to a key query.
 pub fn write_titles(titles: &[Title]) -> String {
-    let row = |it: &Title| {
-        let value = json!({ "base": it.base, "copies": it.copies }).to_string();
-        json!({ "Key": format!("titles/{}", it.name), "Value": STANDARD.encode(value) })
+    let row = |title: &Title| {
+        let value = json!({ "base": title.base, "copies": title.copies }).to_string();
+        json!({ "Key": format!("titles/{}", title.name), "Value": STANDARD.encode(value) })
     };
     Value::Array(titles.iter().map(row).collect()).to_string()
 }
@@ -179,7 +190,7 @@
     }
 
     #[test]
-    fn a_list_comes_through() {
+    fn written_lists_are_read_back() {
         let list = vec![
             listed("b-1"),
             CatalogueServer { started_ms: None, standing: Standing::Up, ..listed("b-2") },
@@ -189,30 +200,30 @@
         assert_eq!(read_titles(write_titles(&titles).as_bytes()), Ok(titles));
     }
 
-    #[test_case("\"b-1\"", "\"b-2\"", "twice"; "a server twice")]
-    #[test_case("\"1.5\"", "\"NaN\"", "weight"; "a weight that is none")]
-    #[test_case("\"3\"", "\"x\"", "cell"; "a cell that is none")]
-    #[test_case("127.0.0.1", "127.0.0.1/a b", "Service.Address"; "an address that is none")]
+    #[test_case("\"b-1\"", "\"b-2\"", "twice"; "a duplicate server")]
+    #[test_case("\"1.5\"", "\"NaN\"", "weight"; "an invalid weight")]
+    #[test_case("\"3\"", "\"x\"", "cell"; "an invalid cell")]
+    #[test_case("127.0.0.1", "127.0.0.1/a b", "Service.Address"; "an invalid address")]
     #[test_case("[", "", "not a list"; "not a list")]
-    fn half_a_list_is_none(was: &str, becomes: &str, expected: &str) {
-        let text = write_servers(&[listed("b-1"), listed("b-2")]).replace(was, becomes);
-        let told = read_servers(text.as_bytes()).unwrap_err().to_string();
-        assert!(told.contains(expected), "{told}");
+    fn a_list_with_an_invalid_entry_is_rejected(valid: &str, invalid: &str, expected: &str) {
+        let text = write_servers(&[listed("b-1"), listed("b-2")]).replace(valid, invalid);
+        let message = read_servers(text.as_bytes()).unwrap_err().to_string();
+        assert!(message.contains(expected), "{message}");
     }
 
     #[test]
-    fn a_failing_check_is_a_drain() {
+    fn a_server_with_a_failing_check_counts_as_draining() {
         let text = write_servers(&[CatalogueServer { standing: Standing::Up, ..listed("b") }]);
         let text = text.replace("\"passing\"", "\"critical\"");
         assert_eq!(read_servers(text.as_bytes()).unwrap()[0].standing, Standing::Draining);
     }
 
     proptest! {
-        // The same cases each time; more by PROPTEST_CASES.
+        // The fixed seed gives the same cases in each run; PROPTEST_CASES sets their number.
         #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
         #[test]
-        fn a_damaged_list_is_read_or_refused(at in 0usize..400, byte in any::<u8>()) {
+        fn a_corrupted_list_does_not_panic(at in 0usize..400, byte in any::<u8>()) {
             let mut text = write_servers(&[listed("b-1")]).into_bytes();
             let at = at % text.len();
             text[at] = byte;
--- a/wire/src/notes.rs
+++ b/wire/src/notes.rs
@@ -1,36 +1,36 @@
-//! Notes of a server: one stream of server-sent events to each manager with viewings there.
+//! Notes of a streaming server. The server sends one stream of server-sent events to each manager that has
+//! viewings on it.
 
+use crate::error::MAX_LINE_BYTES;
 use crate::report::Report;
-use crate::trouble::MOST_LINE;
 use serde::{Deserialize, Serialize};
 
-pub use crate::trouble::NoteStreamError;
+pub use crate::error::NoteStreamError;
 
-/// Why a viewing ended at its server.
+/// Reason why a viewing ended at its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndCause {
-    /// Played to its end.
+    /// The title played to its end.
     Done,
-    /// The player fetches no more.
+    /// The player stopped fetching segments.
     Left,
 }
 
+/// A notification from a streaming server to a manager.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Note {
-    /// How full link and uplink are, or what share is delivered.
+    /// Load of the link and the uplink, or the share of the bit rates that is delivered.
     Load(Report),
-    Ended {
-        viewing: String,
-        cause: EndCause,
-    },
-    /// Nothing but a sign of life.
+    /// A viewing ended.
+    Ended { viewing: String, cause: EndCause },
+    /// A keep-alive without content.
     Alive,
 }
 
 impl Note {
-    /// The event's text.
+    /// Formats the note as a server-sent event.
     pub fn write(&self) -> String {
         match self {
             Note::Load(report) => format!("event: load\ndata: {}\n\n", report.json()),
@@ -43,7 +43,7 @@
     }
 }
 
-/// Reads a stream piece by piece.
+/// Incremental parser of a stream of notes.
 #[derive(Debug, Default)]
 pub struct NoteReader {
     line: Vec<u8>,
@@ -52,56 +52,56 @@
 }
 
 impl NoteReader {
-    /// Takes what has come; gives each note that is whole.
+    /// Parses the next received bytes and calls `on_note` with each complete note.
     ///
     /// # Errors
-    /// [`NoteStreamError`] if a line is too long or an event can't be read: the stream is of no use any more.
-    pub fn feed(&mut self, bytes: &[u8], mut found: impl FnMut(Note)) -> Result<(), NoteStreamError> {
+    /// [`NoteStreamError`] if a line is too long or an event can't be parsed; the stream must not be read any further.
+    pub fn feed(&mut self, bytes: &[u8], mut on_note: impl FnMut(Note)) -> Result<(), NoteStreamError> {
         for byte in bytes {
             match byte {
                 b'\n' => {
                     let line = std::mem::take(&mut self.line);
-                    let line = std::str::from_utf8(&line).map_err(|_| NoteStreamError::NotText)?;
-                    if let Some(note) = self.line(line.trim_end_matches('\r'))? {
-                        found(note);
+                    let line = std::str::from_utf8(&line).map_err(|_| NoteStreamError::NotUtf8)?;
+                    if let Some(note) = self.parse_line(line.trim_end_matches('\r'))? {
+                        on_note(note);
                     }
                 }
-                _ if self.line.len() >= MOST_LINE => return Err(NoteStreamError::LongLine),
+                _ if self.line.len() >= MAX_LINE_BYTES => return Err(NoteStreamError::LineTooLong),
                 byte => self.line.push(*byte),
             }
         }
         Ok(())
     }
 
-    fn line(&mut self, line: &str) -> Result<Option<Note>, NoteStreamError> {
+    fn parse_line(&mut self, line: &str) -> Result<Option<Note>, NoteStreamError> {
         if line.is_empty() {
             let (event, data) = (std::mem::take(&mut self.event), std::mem::take(&mut self.data));
             return match event.as_str() {
                 "load" => Report::read_json(&data)
-                    .map(|it| Some(Note::Load(it)))
-                    .ok_or(NoteStreamError::Event { event: "load" }),
+                    .map(|report| Some(Note::Load(report)))
+                    .ok_or(NoteStreamError::InvalidEvent { event: "load" }),
                 "ended" => {
                     #[derive(Deserialize)]
                     struct Ended {
                         viewing: String,
                         cause: EndCause,
                     }
-                    let ended =
-                        serde_json::from_str(&data).map_err(|_| NoteStreamError::Event { event: "ended" });
+                    let ended = serde_json::from_str(&data)
+                        .map_err(|_| NoteStreamError::InvalidEvent { event: "ended" });
                     let Ended { viewing, cause } = ended?;
                     Ok(Some(Note::Ended { viewing, cause }))
                 }
-                // Events of kinds to come are passed over, as the format wants.
+                // Unknown events are ignored, as the format of server-sent events requires.
                 _ => Ok(None),
             };
         }
         match line.split_once(':') {
             Some(("", _)) => return Ok(Some(Note::Alive)),
             Some(("event", value)) => self.event = value.trim().into(),
-            Some(("data", value)) if self.data.len() < MOST_LINE => self.data.push_str(value.trim()),
-            Some(("data", _)) => return Err(NoteStreamError::LongLine),
+            Some(("data", value)) if self.data.len() < MAX_LINE_BYTES => self.data.push_str(value.trim()),
+            Some(("data", _)) => return Err(NoteStreamError::LineTooLong),
             Some(("id" | "retry", _)) => {}
-            _ => return Err(NoteStreamError::NoField { line: line.chars().take(40).collect() }),
+            _ => return Err(NoteStreamError::InvalidLine { line: line.chars().take(40).collect() }),
         }
         Ok(None)
     }
@@ -113,42 +113,42 @@
     use proptest::prelude::*;
     use proptest::test_runner::RngSeed;
 
-    fn read(bytes: &[u8], cut: usize) -> Result<Vec<Note>, NoteStreamError> {
+    fn read(bytes: &[u8], chunk_bytes: usize) -> Result<Vec<Note>, NoteStreamError> {
         let (mut reader, mut notes) = (NoteReader::default(), Vec::new());
-        for part in bytes.chunks(cut.max(1)) {
-            reader.feed(part, |it| notes.push(it))?;
+        for chunk in bytes.chunks(chunk_bytes.max(1)) {
+            reader.feed(chunk, |note| notes.push(note))?;
         }
         Ok(notes)
     }
 
     proptest! {
-        // The same cases each time; more by PROPTEST_CASES.
+        // The fixed seed gives the same cases in each run; PROPTEST_CASES sets their number.
         #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
         #[test]
-        fn notes_come_through_however_they_are_cut(cut in 1usize..40) {
+        fn notes_are_read_back_from_chunks_of_any_size(chunk_bytes in 1usize..40) {
             let load = Report { link: Some(0.5), ..Report::default() };
             let ended = Note::Ended { viewing: "0-1.2".into(), cause: EndCause::Left };
             let notes = vec![Note::Load(load), Note::Alive, ended];
             let text: String = notes.iter().map(Note::write).collect();
-            prop_assert_eq!(read(text.as_bytes(), cut), Ok(notes));
+            prop_assert_eq!(read(text.as_bytes(), chunk_bytes), Ok(notes));
         }
 
         #[test]
-        fn any_bytes_are_read_without_harm(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+        fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
             _ = read(&bytes, 7);
         }
     }
 
     #[test]
-    fn what_is_no_stream_is_told() {
-        assert_eq!(read(&[b'x'; 5000], 64), Err(NoteStreamError::LongLine));
+    fn invalid_streams_are_rejected_and_unknown_events_ignored() {
+        assert_eq!(read(&[b'x'; 5000], 64), Err(NoteStreamError::LineTooLong));
         let line = "HTTP/1.1 200 OK".into();
-        assert_eq!(read(b"HTTP/1.1 200 OK\n\n", 64), Err(NoteStreamError::NoField { line }));
-        assert_eq!(read(b"event: \xff\n\n", 64), Err(NoteStreamError::NotText));
+        assert_eq!(read(b"HTTP/1.1 200 OK\n\n", 64), Err(NoteStreamError::InvalidLine { line }));
+        assert_eq!(read(b"event: \xff\n\n", 64), Err(NoteStreamError::NotUtf8));
         assert_eq!(
             read(b"event: load\ndata: nonsense\n\n", 64),
-            Err(NoteStreamError::Event { event: "load" })
+            Err(NoteStreamError::InvalidEvent { event: "load" })
         );
         assert_eq!(read(b"event: later\ndata: x\n\n", 64), Ok(vec![]));
     }
