--- a/front/src/front/lists.rs
+++ b/front/src/front/lists.rs
@@ -6,12 +6,18 @@
 use ottersail::ids::Cell;
 use ottersail::state::{Availability, ListMode, ServerEntry};
 use ottersail::time::Ms;
-use ottersail_wire::catalogue::{Listed, Standing, Title};
+use ottersail_wire::catalogue::{CatalogueServer, Standing, Title};
 use tracing::info;
 
 impl Front {
     /// A complete list of servers arrived.
-    pub fn servers_listed(&mut self, now: Ms, index: u64, list: &[Listed], effects: &mut dyn Effects) {
+    pub fn servers_listed(
+        &mut self,
+        now: Ms,
+        index: u64,
+        list: &[CatalogueServer],
+        effects: &mut dyn Effects,
+    ) {
         let state = self.advance(now);
         for listed in list {
             state.addresses.insert(listed.id.as_str().into(), listed.address.clone());
--- a/front/src/front/state.rs
+++ b/front/src/front/state.rs
@@ -10,7 +10,7 @@
 use ottersail::ids::{Rung, ServerId, ViewingId};
 use ottersail::placement::LIST_LAG_FALL_WINDOWS;
 use ottersail::time::Ms;
-use ottersail_hls::Source;
+use ottersail_hls::TitlePlaylist;
 use ottersail_wire::catalogue::Title;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Weak;
@@ -68,7 +68,7 @@
     /// Viewings that play or end at each server. Notes of a server are received while it has any.
     pub(super) viewings_at: BTreeMap<ServerId, BTreeSet<ViewingId>>,
     /// Server playlists by title and rung: the text, and the parsed source while any viewing plays it.
-    pub(super) sources: BTreeMap<(String, usize), (Vec<u8>, Weak<Source>)>,
+    pub(super) sources: BTreeMap<(String, usize), (Vec<u8>, Weak<TitlePlaylist>)>,
     /// Number of sources from which on unused ones are removed next.
     pub(super) sweep_sources_at: usize,
     pub(super) draining: bool,
--- a/front/src/tests/harness.rs
+++ b/front/src/tests/harness.rs
@@ -5,7 +5,7 @@
 use crate::recording::EffectRecorder;
 use crate::{Effects, Front, FrontSettings, Ms, RequestId, SetUpEnd, TitleRequest, WatchId};
 use ottersail_signed_urls::Keys;
-use ottersail_wire::catalogue::{Listed, Standing, Title};
+use ottersail_wire::catalogue::{CatalogueServer, Standing, Title};
 use ottersail_wire::report::Report;
 use std::collections::BTreeMap;
 
@@ -86,8 +86,8 @@
 }
 
 /// Servers box-0 to box-2 in cells 0 to 2.
-pub(super) fn three_servers(standings: [Standing; 3]) -> Vec<Listed> {
-    let listed = |(cell, standing): (u64, Standing)| Listed {
+pub(super) fn three_servers(standings: [Standing; 3]) -> Vec<CatalogueServer> {
+    let listed = |(cell, standing): (u64, Standing)| CatalogueServer {
         id: format!("box-{cell}"),
         address: format!("127.0.0.{}:80", cell + 1),
         standing,
--- a/front/src/watch.rs
+++ b/front/src/watch.rs
@@ -4,7 +4,7 @@
 use crate::presence;
 use ottersail::ids::{PackageIndex, Rung, TenantIndex, ViewingId};
 use ottersail::time::Ms;
-use ottersail_hls::{Edition, Piece, Source};
+use ottersail_hls::{PublishedPlaylist, PublishedSegment, TitlePlaylist};
 use ottersail_signed_urls::{Claim, Keys};
 use std::rc::Rc;
 
@@ -18,7 +18,7 @@
     /// Address of the server.
     pub address: String,
     pub rung: Rung,
-    pub source: Rc<Source>,
+    pub source: Rc<TitlePlaylist>,
 }
 
 /// Stage of the present viewing of a watch.
@@ -44,7 +44,7 @@
     pub viewings: u32,
     pub stage: Stage,
     /// The published playlist.
-    pub edition: Edition,
+    pub edition: PublishedPlaylist,
     /// Nominal time at which the title's start played, as if it had been played without interruption.
     pub title_started: Ms,
     /// Index within the title of the segment to publish next.
@@ -82,13 +82,13 @@
         let segments = play.source.segments.iter().take(self.next_segment);
         let before_s: f64 = segments.map(|segment| segment.seconds).sum();
         self.title_started = now - Ms(before_s * 1e3);
-        self.discontinuity = self.edition.next_number() > 0;
-        self.edition.aim_at(play.source.target);
+        self.discontinuity = self.edition.next_sequence_number() > 0;
+        self.edition.set_target_duration(play.source.target);
         self.stage = Stage::Playing(play);
     }
 
     /// Continues at another rung from the next segment on.
-    pub fn change_rung(&mut self, rung: Rung, source: Rc<Source>) {
+    pub fn change_rung(&mut self, rung: Rung, source: Rc<TitlePlaylist>) {
         if let Stage::Playing(play) = &mut self.stage {
             play.rung = rung;
             play.source = source;
@@ -103,7 +103,7 @@
             return None;
         };
         let played = now - self.title_started;
-        let last = play.source.at_ms(presence::publish_to(played, target).0);
+        let last = play.source.segment_at_ms(presence::publish_to(played, target).0);
         let rung = play.rung.0;
         let signed_address = |what: &str| {
             let viewing = play.viewing.to_string();
@@ -112,8 +112,8 @@
         };
         while self.next_segment <= last && self.next_segment < play.source.segments.len() {
             let segment = &play.source.segments[self.next_segment];
-            let needs_map = self.discontinuity || self.edition.last_index().is_none();
-            self.edition.publish(Piece {
+            let needs_map = self.discontinuity || self.edition.last_segment_index().is_none();
+            self.edition.publish(PublishedSegment {
                 index: self.next_segment,
                 uri: signed_address(&segment.uri),
                 map: play.source.map.as_deref().filter(|_| needs_map).map(signed_address),
@@ -122,7 +122,7 @@
             });
             (self.discontinuity, self.next_segment) = (false, self.next_segment + 1);
         }
-        self.edition.slide(play.source.at_ms((played - target).0.max(0.0)));
+        self.edition.remove_before(play.source.segment_at_ms((played - target).0.max(0.0)));
         if self.next_segment < play.source.segments.len() {
             return None;
         }
@@ -135,7 +135,7 @@
     pub fn interrupt(&mut self, now: Ms) {
         if let Stage::Playing(play) = &self.stage {
             let played_ms = (now - self.title_started).0.max(0.0);
-            self.next_segment = play.source.at_ms(played_ms).min(self.next_segment);
+            self.next_segment = play.source.segment_at_ms(played_ms).min(self.next_segment);
         }
         self.stage = Stage::Interrupted;
     }
@@ -143,8 +143,8 @@
     /// Withdraws published segments from the given media sequence number on, which the player wants next, or
     /// else by the nominal position.
     pub fn resume(&mut self, next_sequence: Option<u64>) {
-        if self.edition.last_index().is_some() {
-            self.next_segment = self.edition.withdraw(next_sequence, self.next_segment);
+        if self.edition.last_segment_index().is_some() {
+            self.next_segment = self.edition.withdraw_all(next_sequence, self.next_segment);
         }
     }
 
