--- a/daemon/src/settings/council.rs
+++ b/daemon/src/settings/council.rs
@@ -84,9 +84,9 @@
         Members { name: name.into(), cluster, listen, advertise: listen, seeds: vec![], keys, period }
     }
 
-    fn read(text: &str, me: Option<&str>) -> (Option<Council>, Result<(), SettingsError>) {
+    fn read(text: &str, member_name: Option<&str>) -> (Option<Council>, Result<(), SettingsError>) {
         let ini = IniFile::read("m.ini", text);
-        let members = me.map(member);
+        let members = member_name.map(member);
         (council(&ini, Path::new("folder"), members.as_ref()), ini.finish())
     }
 
@@ -112,15 +112,15 @@
     }
 
     #[test_case("m-0, m-1, m-2", "m-0, m-1", "m.ini:2: councillors: expected 3, 5 or 7"; "an even count")]
-    #[test_case("m-0, m-1, m-2", "m-0, m-1, m-1", "m.ini:2: councillors: expected 3, 5"; "one twice")]
-    #[test_case("m-0, m-1, m-2", "m-0, M, m-2", "m.ini:2: councillors: expected names"; "not a name")]
-    #[test_case("store = c\n", "", "store: a councillor needs store = FILE"; "nowhere to keep it")]
-    #[test_case("m-0, m-1, m-2", "a, b, c", "m.ini:3: store: m-0 is no councillor"; "nothing to keep")]
-    #[test_case("store = c", "store = c\nslots = 9", "slots: expected a whole number from 32"; "few slots")]
-    #[test_case("store", "stor", "stor is not known in [council]; did you mean store?"; "a key")]
-    #[test_case("[council]", "[counsil]", "did you mean [council]?"; "a heading")]
-    fn problems_are_reported_with_their_line(was: &str, becomes: &str, expected: &str) {
-        let error = read(&FILE.replace(was, becomes), Some("m-0")).1.unwrap_err().to_string();
+    #[test_case("m-0, m-1, m-2", "m-0, m-1, m-1", "m.ini:2: councillors: expected 3, 5"; "a duplicate name")]
+    #[test_case("m-0, m-1, m-2", "m-0, M, m-2", "m.ini:2: councillors: expected names"; "an invalid name")]
+    #[test_case("store = c\n", "", "store: a councillor needs store = FILE"; "a councillor without a store")]
+    #[test_case("m-0, m-1, m-2", "a, b, c", "m.ini:3: store: m-0 is no councillor"; "a store at another member")]
+    #[test_case("store = c", "store = c\nslots = 9", "slots: expected a whole number from 32"; "too few slots")]
+    #[test_case("store", "stor", "stor is not known in [council]; did you mean store?"; "an unknown key")]
+    #[test_case("[council]", "[counsil]", "did you mean [council]?"; "an unknown heading")]
+    fn problems_are_reported_with_their_line(original: &str, replacement: &str, expected: &str) {
+        let error = read(&FILE.replace(original, replacement), Some("m-0")).1.unwrap_err().to_string();
         assert!(error.contains(expected), "{error}");
     }
 
--- a/daemon/src/settings/day.rs
+++ b/daemon/src/settings/day.rs
@@ -15,7 +15,9 @@
 /// A day, and the terms of its managers. Each manager replaces the number and the zone with its own.
 #[derive(Clone, Debug)]
 pub struct DayPlan {
+    /// The fleet, the viewers and the faults of the day.
     pub day: Day,
+    /// The configuration of placement that the managers share.
     pub terms: PlacementConfig,
     /// How long a draining server keeps accepting set-ups that are in flight.
     pub drain_grace: Ms,
--- a/daemon/src/settings/ini_file/tests.rs
+++ b/daemon/src/settings/ini_file/tests.rs
@@ -18,8 +18,8 @@
         a.whole("a", 0..=9);
         let lines = text.lines().count();
         for problem in ini.problems() {
-            let line = problem.split(':').nth(1).and_then(|it| it.parse::<usize>().ok());
-            prop_assert!(line.is_none_or(|it| it >= 1 && it <= lines.max(1)), "{} of {}", problem, lines);
+            let line = problem.split(':').nth(1).and_then(|number| number.parse::<usize>().ok());
+            prop_assert!(line.is_none_or(|line| line >= 1 && line <= lines.max(1)), "{} of {}", problem, lines);
         }
     }
 }
--- a/daemon/src/settings/manager.rs
+++ b/daemon/src/settings/manager.rs
@@ -13,6 +13,7 @@
 /// All settings of a manager.
 #[derive(Clone, Debug)]
 pub struct ManagerSettings {
+    /// The configuration of placement.
     pub terms: PlacementConfig,
     /// The address that players connect to, `host:port`.
     pub listen: String,
@@ -30,11 +31,13 @@
     pub connections: usize,
     /// Number of threads that hold connections. The first one is the placement owner too.
     pub cores: usize,
+    /// How the manager reaches the discovery service and the servers.
     pub links: Links,
+    /// The cluster of managers; `None` if this manager is no member of one.
     pub members: Option<Members>,
-    /// Only with members.
+    /// The council's settings, only with members.
     pub council: Option<Council>,
-    /// Only with members and a council.
+    /// The settings for releases, only with members and a council.
     pub releases: Option<Releases>,
 }
 
@@ -126,7 +129,7 @@
     const COUNCIL: &str =
         "[council]\ncouncillors = manager-1, b, c\nstore = s\nslots = 32\nlease-ms = 900\ndrift-ppm = 7\n";
     const RELEASES: &str = "[releases]\norders = o.ini\nversion = 2.0\nnext = n\nplay-out-ms = 50\n";
-    const NEW: &str =
+    const PROBE_TERMS: &str =
         "cells = 12\nworth = 0.2, 0.6, 1\njoin = 0.3\nreports-on-probe = yes\nweights-told = no";
 
     #[test]
@@ -154,7 +157,7 @@
     }
 
     #[test_case(FILE.to_string(); "without optional terms")]
-    #[test_case(FILE.replace("cells = 12", NEW).replace("[rules]", "[rules]\nprobes-allowed = yes")
+    #[test_case(FILE.replace("cells = 12", PROBE_TERMS).replace("[rules]", "[rules]\nprobes-allowed = yes")
         .replace("seats = 4", "seats = 4\nlive = yes"); "probes and shared streams")]
     #[test_case(FILE.to_string() + MEMBERS; "members")]
     #[test_case(FILE.to_string() + MEMBERS + COUNCIL; "a councillor")]
@@ -179,12 +182,12 @@
 
     #[test_case("number = 1", "number = 3", "m.ini:2: number: counts from 0"; "a number past the count")]
     #[test_case("floor = 1", "floor = 2\ntop = 1", "floor: must not be above top, 1"; "floor above top")]
-    #[test_case("100, 200", "300, 200", "each rung's rate must be higher"; "a ladder that falls")]
+    #[test_case("100, 200", "300, 200", "each rung's rate must be higher"; "rates that do not increase")]
     #[test_case(
         "silence-ms = 3000", "send-within-ms = 1000", "must be under the drain grace of 1000 ms";
-        "sent past the grace"
+        "a send limit not under the drain grace"
     )]
-    #[test_case("budget-free = 5\n", "", "[rules] lacks budget-free"; "half a budget")]
+    #[test_case("budget-free = 5\n", "", "[rules] lacks budget-free"; "an incomplete budget")]
     #[test_case("repeat = safe", "repeat = often", "expected one of safe, unsafe, keyed"; "an unknown word")]
     #[test_case("listen = 127.0.0.1:8080", "listen = here", "expected an address like"; "no address")]
     #[test_case(
@@ -205,26 +208,26 @@
     )]
     #[test_case(
         "cells = 12", "cells = 12\nworth = 0.5, 1", "one figure for each of the 3 rungs";
-        "worth of other rungs"
+        "a wrong number of rung values"
     )]
     #[test_case(
         "[list]", "[members]\ncluster = c\nlisten = 127.0.0.1:1\nkeys = k\n[manager2]\n[list]",
         "m.ini:11: [manager2] is not known here; did you mean [manager]?";
-        "a heading beside members"
+        "an unknown heading like manager"
     )]
     #[test_case(
         "zone = a", "zone = A\n[members]\ncluster = c\nlisten = 127.0.0.1:1\nkeys = k\n[x]",
         "m.ini:4: zone: with [members] expected up to 32 of a-z, 0-9 and -";
-        "a zone that members can't tell"
+        "an invalid zone name with members"
     )]
-    #[test_case("[list]", "[lits]", "[list] is missing"; "a section with another name")]
+    #[test_case("[list]", "[lits]", "[list] is missing"; "a missing section")]
     #[test_case(
         "[list]", "[lits]", "[lits] is not known here; did you mean [list]?";
-        "letters of a heading that changed places"
+        "swapped letters in a heading"
     )]
     #[test_case(
         "[package clips]", "[pakage clips]", "did you mean [package clips]?";
-        "a letter that a heading lacks"
+        "a missing letter in a heading"
     )]
     #[test_case(
         "[rules]", "[fleet]\n[rules]", "m.ini:24: [fleet] is not known here; it belongs in a day's file";
@@ -232,14 +235,14 @@
     )]
     #[test_case(
         "wait-ms", "wiat-ms", "m.ini:10: wiat-ms is not known in [list]; did you mean wait-ms?";
-        "letters of a key that changed places"
+        "swapped letters in a key"
     )]
     #[test_case(
         "wait-ms", "colour", "m.ini:10: colour is not known in [list]; take it out";
-        "a key like none"
+        "a key without a similar name"
     )]
-    fn problems_are_reported(was: &str, becomes: &str, expected: &str) {
-        let error = read(&FILE.replace(was, becomes)).unwrap_err().to_string();
+    fn problems_are_reported(original: &str, replacement: &str, expected: &str) {
+        let error = read(&FILE.replace(original, replacement)).unwrap_err().to_string();
         assert!(error.contains(expected), "{error}");
     }
 }
--- a/daemon/src/settings/members.rs
+++ b/daemon/src/settings/members.rs
@@ -10,6 +10,7 @@
 pub struct Members {
     /// The member's name, unique within the cluster.
     pub name: String,
+    /// The cluster's name.
     pub cluster: String,
     /// The address that datagrams are received on.
     pub listen: SocketAddrV4,
@@ -141,14 +142,14 @@
     #[test_case("cluster = east", "cluster = East", "m.ini:2: cluster: expected up to 32"; "a name in capitals")]
     #[test_case("cluster = east\n", "", "[members] lacks cluster"; "no cluster")]
     #[test_case("127.0.0.1:7946", "[::1]:7946", "m.ini:3: listen: expected an IPv4"; "not IPv4")]
-    #[test_case("127.0.0.1:7946", "0.0.0.0:7946", "m.ini:3: listen: must be one"; "nobody's address")]
+    #[test_case("127.0.0.1:7946", "0.0.0.0:7946", "m.ini:3: listen: must be one"; "an unspecified address")]
     #[test_case("keys = m", "keys = m\nadvertise = 127.0.0.1:0", "m.ini:5: advertise: must be one"; "no port")]
-    #[test_case("keys = m", "keys = m\nseeds = 127.0.0.1:1, x", "m.ini:5: seeds: expected"; "a seed that is none")]
-    #[test_case("keys = m", "keys = m\nperiod-ms = 5", "period-ms: expected a number from 50"; "too quick")]
-    #[test_case("keys = m", "keys = m\nseed = x", "seed is not known in [members]; did you mean seeds?"; "a key")]
-    #[test_case("[members]", "[member]", "[member] is not known here; did you mean [members]?"; "a heading")]
-    fn problems_are_reported_with_their_line(was: &str, becomes: &str, expected: &str) {
-        let error = read(&FILE.replace(was, becomes)).1.unwrap_err().to_string();
+    #[test_case("keys = m", "keys = m\nseeds = 127.0.0.1:1, x", "m.ini:5: seeds: expected"; "an invalid seed")]
+    #[test_case("keys = m", "keys = m\nperiod-ms = 5", "period-ms: expected a number from 50"; "too short a period")]
+    #[test_case("keys = m", "keys = m\nseed = x", "seed is not known in [members]; did you mean seeds?"; "an unknown key")]
+    #[test_case("[members]", "[member]", "[member] is not known here; did you mean [members]?"; "an unknown heading")]
+    fn problems_are_reported_with_their_line(original: &str, replacement: &str, expected: &str) {
+        let error = read(&FILE.replace(original, replacement)).1.unwrap_err().to_string();
         assert!(error.contains(expected), "{error}");
     }
 }
--- a/daemon/src/settings/orders.rs
+++ b/daemon/src/settings/orders.rs
@@ -14,7 +14,9 @@
 /// The orders of an operator. An order that is `None` leaves the agreed one in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Orders {
+    /// The order to start another version of the managers.
     pub release: Option<Order>,
+    /// The order to drain servers.
     pub drain: Option<Order>,
 }
 
--- a/daemon/src/settings/releases.rs
+++ b/daemon/src/settings/releases.rs
@@ -41,7 +41,7 @@
     }
     let file = |key: &str| section.get(key).filter(|path| !path.is_empty()).map(|path| folder.join(path));
     let (orders, next) = (file("orders"), folder.join(section.text("next")));
-    // The file is overwritten, so it must not be the orders' file, the keys or the store.
+    // `next` is overwritten, so it must not be the orders' file, the keys or the store.
     let keys = members.map(|members| ("[members] keys", &members.keys));
     let store = council.and_then(|council| council.store.as_ref()).map(|path| ("[council] store", path));
     let others = orders.as_ref().map(|path| ("orders", path)).into_iter().chain(keys).chain(store);
@@ -99,19 +99,19 @@
         assert_eq!(section.orders.as_deref(), Some(Path::new("folder/o.ini")));
     }
 
-    #[test_case("next = n\n", "", "1: [releases] lacks next; expected a text"; "nowhere to write")]
-    #[test_case("next = n", "next = k", "2: next: must be a file of its own, and is that of [m"; "over keys")]
-    #[test_case("next = n", "next = s", "2: next: must be a file of its own, and is that of"; "over a store")]
-    #[test_case("next = n", "next = n\norders = n", "2: next: must be a file of its own, and is"; "over orders")]
-    #[test_case("next = n", "next = n\nversion = 2 0", "3: version: expected 1 to 32 of a-z"; "no version")]
-    #[test_case("next = n", "next = n\nplay-out-ms = -1", "3: play-out-ms: expected a numb"; "under nothing")]
-    #[test_case("next", "nxt", "2: nxt is not known in [releases]; did you mean next?"; "a key")]
-    #[test_case("[releases]", "[release]", "1: [release] is not known here; did you mean [rel"; "a heading")]
+    #[test_case("next = n\n", "", "1: [releases] lacks next; expected a text"; "a missing next")]
+    #[test_case("next = n", "next = k", "2: next: must be a file of its own, and is that of [m"; "next is the keys file")]
+    #[test_case("next = n", "next = s", "2: next: must be a file of its own, and is that of"; "next is the store")]
+    #[test_case("next = n", "next = n\norders = n", "2: next: must be a file of its own, and is"; "next is the orders file")]
+    #[test_case("next = n", "next = n\nversion = 2 0", "3: version: expected 1 to 32 of a-z"; "an invalid version")]
+    #[test_case("next = n", "next = n\nplay-out-ms = -1", "3: play-out-ms: expected a numb"; "a negative time")]
+    #[test_case("next", "nxt", "2: nxt is not known in [releases]; did you mean next?"; "an unknown key")]
+    #[test_case("[releases]", "[release]", "1: [release] is not known here; did you mean [rel"; "an unknown heading")]
     #[test_case("[council]", "[x]", "1: [releases] needs [council]; write that section"; "no council")]
     #[test_case("[members]", "[x]", "1: [releases] needs [members]; write that section"; "no members")]
-    fn problems_are_reported_with_their_line(was: &str, becomes: &str, expected: &str) {
-        let error = read(&FILE.replace(was, becomes)).1.unwrap_err().to_string();
-        assert!(error.lines().any(|it| it.starts_with(&format!("m.ini:{expected}"))), "{error}");
+    fn problems_are_reported_with_their_line(original: &str, replacement: &str, expected: &str) {
+        let error = read(&FILE.replace(original, replacement)).1.unwrap_err().to_string();
+        assert!(error.lines().any(|line| line.starts_with(&format!("m.ini:{expected}"))), "{error}");
     }
 
     #[test]
--- a/daemon/src/settings/sections.rs
+++ b/daemon/src/settings/sections.rs
@@ -6,9 +6,13 @@
 /// The kinds of settings files that a section may be in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileKind {
+    /// A manager's file.
     Manager,
+    /// A day's file.
     Day,
+    /// A manager's file or a day's file.
     Both,
+    /// An orders' file.
     Orders,
 }
 
@@ -17,6 +21,7 @@
 pub struct SectionInfo {
     /// The heading. If it ends with ` NAME`, there may be several sections, each with its own name.
     pub heading: &'static str,
+    /// The kinds of files that the section may be in.
     pub files: FileKind,
     /// The module that reads the section.
     pub module: &'static str,
@@ -48,9 +53,9 @@
 
 /// Describes the files that a section may be in, for one that is in another file.
 pub(super) fn files_of(heading: &str) -> Option<&'static str> {
-    let matches = |listed: &str| match listed.strip_suffix(NAME_SUFFIX) {
+    let matches = |known: &str| match known.strip_suffix(NAME_SUFFIX) {
         Some(kind) => heading.split_once(' ').is_some_and(|(first_word, _)| first_word == kind),
-        None => heading == listed,
+        None => heading == known,
     };
     let section = SECTIONS.iter().find(|section| matches(section.heading))?;
     Some(match section.files {
@@ -73,7 +78,7 @@
 
     const DAY: &str = include_str!("../../tests/day.ini");
 
-    fn listed(files: &[FileKind]) -> BTreeSet<String> {
+    fn listed_headings(files: &[FileKind]) -> BTreeSet<String> {
         let in_files = SECTIONS.iter().filter(|section| files.contains(&section.files));
         in_files.map(|section| section.heading.to_string()).collect()
     }
@@ -83,7 +88,7 @@
     fn the_listed_sections_are_those_that_are_read() {
         let ini = IniFile::read("day.ini", DAY);
         let plan = day::read_plan(&ini).unwrap();
-        assert_eq!(ini.known_headings(), listed(&[FileKind::Day, FileKind::Both]));
+        assert_eq!(ini.known_headings(), listed_headings(&[FileKind::Day, FileKind::Both]));
         let local = LocalSettings {
             listen: "127.0.0.1:1",
             list: "127.0.0.1:2",
@@ -98,9 +103,9 @@
         };
         let ini = IniFile::read("m.ini", &write_manager(&plan.terms, &local));
         manager::read_manager(&ini, Path::new(".")).unwrap();
-        assert_eq!(ini.known_headings(), listed(&[FileKind::Manager, FileKind::Both]));
+        assert_eq!(ini.known_headings(), listed_headings(&[FileKind::Manager, FileKind::Both]));
         let ini = IniFile::read("o.ini", "");
         orders::orders(&ini);
-        assert_eq!(ini.known_headings(), listed(&[FileKind::Orders]));
+        assert_eq!(ini.known_headings(), listed_headings(&[FileKind::Orders]));
     }
 }
--- a/daemon/src/settings/terms.rs
+++ b/daemon/src/settings/terms.rs
@@ -14,6 +14,7 @@
     pub number: u64,
     /// How many managers there are.
     pub managers: u64,
+    /// The zone that the manager is in.
     pub zone: &'a str,
 }
 
--- a/daemon/src/settings/values.rs
+++ b/daemon/src/settings/values.rs
@@ -55,14 +55,14 @@
 /// Names separated by commas, without duplicates. They are sorted, so that the order in the file does not
 /// matter.
 pub(super) fn names(section: &Section, key: &str, text: &str) -> Vec<Name> {
-    let named = |text: &str| {
+    let parse_name = |text: &str| {
         let name = Name::new(text);
         if name.is_none() {
             section.add_problem(key, format!("expected names of {NAME_DESCRIPTION}, read {text:?}"));
         }
         name
     };
-    let mut all: Vec<Name> = list_items(text).filter_map(named).collect();
+    let mut all: Vec<Name> = list_items(text).filter_map(parse_name).collect();
     all.sort();
     if let Some(pair) = all.windows(2).find(|pair| pair[0] == pair[1]) {
         section.add_problem(key, format!("{} is there twice; take one out", pair[0]));
@@ -117,7 +117,9 @@
     };
     let all: Vec<Step> = list_items(&text).filter_map(step).collect();
     let does_not_grow = |pair: &[Step]| match (pair[0], pair[1]) {
-        (Step::Count(a), Step::Count(b)) | (Step::PerMille(a), Step::PerMille(b)) => a >= b,
+        (Step::Count(earlier), Step::Count(later)) | (Step::PerMille(earlier), Step::PerMille(later)) => {
+            earlier >= later
+        }
         _ => false,
     };
     if all.windows(2).any(does_not_grow) {
@@ -133,7 +135,7 @@
     for text in list_items(section.get("zones").unwrap_or("")) {
         let words: Vec<&str> = text.split_whitespace().collect();
         let zone = match words[..] {
-            [name, has, most] => Name::new(name).zip(has.parse().ok().zip(most.parse().ok())),
+            [name, members, max_out] => Name::new(name).zip(members.parse().ok().zip(max_out.parse().ok())),
             _ => None,
         };
         let Some((name, bounds)) = zone else {
--- a/daemon/src/settings/write.rs
+++ b/daemon/src/settings/write.rs
@@ -16,18 +16,24 @@
     pub keys: &'a str,
     /// How long a draining server keeps accepting set-ups that are in flight.
     pub grace: Ms,
+    /// How long the discovery service may hold a request until something changes.
     pub list_wait: Ms,
+    /// A server that sends nothing for this long is lost.
     pub silence: Ms,
+    /// Number of threads that hold connections.
     pub cores: usize,
+    /// The section `[members]`, if it is to be written.
     pub members: Option<&'a Members>,
+    /// The section `[council]`, if it is to be written.
     pub council: Option<&'a Council>,
+    /// The section `[releases]`, if it is to be written.
     pub releases: Option<&'a Releases>,
 }
 
 /// Writes a manager's file, from which [`parse_manager`](super::manager::parse_manager) reads the same settings.
 pub fn write_manager(terms: &PlacementConfig, local: &LocalSettings) -> String {
     let yes_no = |flag: bool| if flag { "yes" } else { "no" };
-    let join = |numbers: &[f64]| numbers.iter().map(f64::to_string).collect::<Vec<_>>().join(", ");
+    let join_numbers = |numbers: &[f64]| numbers.iter().map(f64::to_string).collect::<Vec<_>>().join(", ");
     let LocalSettings { listen, list, keys, grace, list_wait, silence, cores, .. } = local;
     let places: Vec<String> =
         terms.places_by_kind.iter().map(|(kind, places)| format!("{kind}:{places}")).collect();
@@ -41,7 +47,7 @@
         "[ladder]\nrates-kb = {}\nlink-unit-kb = {}\nrack-link-kb = {}\nuplinks-reported = {}\ncells = {}\n\
          racks = {}\nplaces = {}\nseen-after-ms = {}\nreports-every-ms = {}\nchange-cost-ms = {}\n\
          reports-on-probe = {}\nweights-told = {}\njoin = {}\n",
-        join(&terms.ladder_kb),
+        join_numbers(&terms.ladder_kb),
         terms.link_unit_kb,
         terms.uplink_kb,
         yes_no(terms.uplinks_reported),
@@ -56,7 +62,7 @@
         terms.live_join_share
     );
     if !terms.rung_values.is_empty() {
-        text += &format!("worth = {}\n", join(&terms.rung_values));
+        text += &format!("worth = {}\n", join_numbers(&terms.rung_values));
     }
     text += &format!(
         "\n[rules]\nprobes-allowed = {}\ndrain-grace-ms = {}\ncold-ms = {}\nstart-capacity = {}\n\
