--- a/daemon/src/rehearse/manager_faults.rs
+++ b/daemon/src/rehearse/manager_faults.rs
@@ -17,14 +17,15 @@
 pub(super) struct StopFlags<'a> {
     /// The players are done.
     pub day_over: &'a AtomicBool,
-    /// This process was told to end.
+    /// This process received SIGTERM or SIGINT.
     pub interrupted: &'a AtomicBool,
 }
 
-/// A manager that was told to end.
+/// A manager that was sent SIGTERM and has not exited yet.
 struct EndingManager {
     manager: usize,
-    told_at: Instant,
+    /// When SIGTERM was sent.
+    terminated_at: Instant,
 }
 
 /// Carries out the faults of managers until the day is over.
@@ -48,14 +49,14 @@
             }
             !ready
         });
-        ending.retain(|EndingManager { manager, told_at }| {
+        ending.retain(|EndingManager { manager, terminated_at }| {
             let (index, manager) = (*manager, &mut managers[*manager]);
             match manager.process.ended() {
                 Some(status) if !status.success() => {
                     manager.unclean = Some(UncleanExit::Failed { manager: index, status });
                 }
                 Some(_) => {}
-                None if told_at.elapsed() < EXIT_TIMEOUT => return true,
+                None if terminated_at.elapsed() < EXIT_TIMEOUT => return true,
                 None => {
                     manager.unclean = Some(UncleanExit::TimedOut { manager: index, timeout: EXIT_TIMEOUT });
                     manager.process.kill();
@@ -66,8 +67,8 @@
             starting.push(index);
             false
         });
-        let second = began.elapsed().as_secs_f64();
-        if Instant::now() < began || actions.last().is_none_or(|next| next.second > second) {
+        let elapsed_s = began.elapsed().as_secs_f64();
+        if Instant::now() < began || actions.last().is_none_or(|next| next.second > elapsed_s) {
             continue;
         }
         let Some(ScheduledAction { action, manager: index, fault, .. }) = actions.pop() else {
@@ -86,7 +87,7 @@
             Action::Terminate => {
                 recorder.note(Event::ManagerTold { manager: index });
                 manager.process.signal(Signal::TERM);
-                ending.push(EndingManager { manager: index, told_at: Instant::now() });
+                ending.push(EndingManager { manager: index, terminated_at: Instant::now() });
             }
             Action::Stop => {
                 recorder.note(Event::ManagerStopped { manager: index });
@@ -107,6 +108,7 @@
     }
 }
 
+/// What is done to a manager.
 enum Action {
     /// Sends SIGKILL.
     Kill,
@@ -124,6 +126,7 @@
     NoteCoreContinues,
 }
 
+/// An action on a manager, at a time of the day.
 struct ScheduledAction {
     /// Time since the start of the day, in seconds.
     second: f64,
--- a/daemon/src/rehearse/manager_process.rs
+++ b/daemon/src/rehearse/manager_process.rs
@@ -20,8 +20,11 @@
 
 /// A manager and its current process.
 pub(super) struct Manager {
+    /// The manager's number, counted from 0.
     pub number: usize,
+    /// The address that players connect to.
     pub address: SocketAddr,
+    /// The current process.
     pub process: Process,
     /// How often the manager was started.
     pub starts: usize,
@@ -33,6 +36,7 @@
 pub(super) struct ManagerLauncher {
     /// Folder with the managers' files and logs.
     pub folder: PathBuf,
+    /// The program of the managers.
     pub program: PathBuf,
     /// Whether managers record their events.
     pub recording: bool,
@@ -97,7 +101,7 @@
     }
 }
 
-/// Waits for a manager to exit by itself, and kills it after `timeout`. `None` if it has exited well.
+/// Waits for a manager to exit by itself, and kills it after `timeout`. `None` if it has exited successfully.
 pub(super) fn wait_for_exit(manager: &mut Manager, timeout: Duration) -> Option<UncleanExit> {
     match manager.process.wait(timeout) {
         Some(status) if status.success() => None,
@@ -121,7 +125,7 @@
 
 /// Whether a manager answers `/ready` with 200.
 pub(super) fn is_ready(address: SocketAddr) -> bool {
-    let ask = || -> std::io::Result<bool> {
+    let request = || -> std::io::Result<bool> {
         let mut stream = TcpStream::connect_timeout(&address, CONNECT_TIMEOUT)?;
         stream.set_read_timeout(Some(READ_TIMEOUT))?;
         stream.write_all(b"GET /ready HTTP/1.1\r\nhost: manager\r\nconnection: close\r\n\r\n")?;
@@ -129,7 +133,7 @@
         stream.read_exact(&mut head)?;
         Ok(head.ends_with(b"200"))
     };
-    ask().unwrap_or(false)
+    request().unwrap_or(false)
 }
 
 /// Waits until a manager is ready.
--- a/daemon/src/rehearse/member_network.rs
+++ b/daemon/src/rehearse/member_network.rs
@@ -80,10 +80,11 @@
         std::thread::spawn(move || {
             let exec = executor();
             block_on(exec.run(async {
-                let count = members.len();
+                let manager_count = members.len();
                 let started = Exchange::start(exec, members, seed).and_then(|exchange| {
-                    let addresses =
-                        (0..count).map(|index| exchange.address(index)).collect::<Result<Vec<_>, _>>()?;
+                    let addresses = (0..manager_count)
+                        .map(|index| exchange.address(index))
+                        .collect::<Result<Vec<_>, _>>()?;
                     Ok((exchange, addresses))
                 });
                 let exchange = match started {
@@ -98,7 +99,7 @@
                 };
                 let inject_faults = async {
                     if let Ok(began) = start_receiver.recv().await {
-                        play_faults(&faults, count, &exchange, &recorder, began).await;
+                        play_faults(&faults, manager_count, &exchange, &recorder, began).await;
                     }
                     futures_lite::future::pending::<()>().await;
                 };
@@ -108,17 +109,17 @@
         let thread_ended = RehearseError::Exchange { cause: "its thread ended".into() };
         let addresses = result_receiver.recv_blocking().map_err(|_| thread_ended)?;
         let addresses = addresses.map_err(|error| RehearseError::Exchange { cause: error.to_string() })?;
-        let v4 = |address: SocketAddr| match address {
+        let ipv4_address = |address: SocketAddr| match address {
             SocketAddr::V4(address) => Some(address),
             SocketAddr::V6(_) => None,
         };
-        let addresses = addresses.into_iter().filter_map(v4).collect();
+        let addresses = addresses.into_iter().filter_map(ipv4_address).collect();
         Ok(MemberNetwork { addresses, start_sender, _stop_on_drop: stop_on_drop })
     }
 
-    /// Starts the day's faults; `at` is the start of the day.
-    pub fn begin(&self, at: Instant) {
-        _ = self.start_sender.send_blocking(at);
+    /// Starts the day's faults. Their times count from `day_start`.
+    pub fn begin(&self, day_start: Instant) {
+        _ = self.start_sender.send_blocking(day_start);
     }
 }
 
@@ -135,7 +136,7 @@
 /// Updates the conditions of all links whenever a fault begins or ends.
 async fn play_faults(
     faults: &[NetworkFault],
-    count: usize,
+    manager_count: usize,
     exchange: &Exchange,
     recorder: &Recorder,
     began: Instant,
@@ -150,7 +151,7 @@
             ]
         })
         .collect();
-    changes.sort_by(|a, b| a.second.total_cmp(&b.second));
+    changes.sort_by(|left, right| left.second.total_cmp(&right.second));
     let mut active = BTreeSet::new();
     for FaultChange { second, index, on } in changes {
         Timer::at(began + Duration::from_secs_f64(second)).await;
@@ -159,7 +160,7 @@
         } else {
             active.remove(&index);
         }
-        for (from, to) in (0..count).flat_map(|from| (0..count).map(move |to| (from, to))) {
+        for (from, to) in (0..manager_count).flat_map(|from| (0..manager_count).map(move |to| (from, to))) {
             let conditions = active.iter().map(|index| faults[*index].condition_of(from, to));
             exchange.set(from, to, conditions.fold(Condition::default(), Condition::and));
         }
--- a/daemon/src/rehearse/membership_views.rs
+++ b/daemon/src/rehearse/membership_views.rs
@@ -1,4 +1,4 @@
-//! Records how many other managers each manager takes for alive, suspect, dead or gone, as its metrics say.
+//! Records how many other managers each manager considers alive, suspect, dead or departed, as reported by its metrics.
 
 use crate::settings::day::DayPlan;
 use ottersail_fake_servers::{FaultKind, Recorder};
@@ -15,7 +15,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Queries all managers. `settled` means that all of them run and that no fault has affected members for a long
-/// time, so that each manager must take all others for alive.
+/// time, so that each manager must consider all others alive.
 pub(super) fn record_views(managers: &[SocketAddr], settled: bool, recorder: &Recorder) {
     for (manager, address) in managers.iter().enumerate() {
         let metrics = read_metrics(*address).unwrap_or_default();
@@ -29,6 +29,7 @@
     }
 }
 
+/// The value of the first metric line that starts with `prefix`.
 fn metric(metrics: &str, prefix: &str) -> Option<usize> {
     metrics.lines().find_map(|line| line.strip_prefix(prefix))?.trim().parse().ok()
 }
@@ -69,8 +70,8 @@
     let recorder = recorder.clone();
     std::thread::spawn(move || {
         for second in query_times {
-            let at = began + Duration::from_secs_f64(second);
-            while Instant::now() < at {
+            let query_time = began + Duration::from_secs_f64(second);
+            while Instant::now() < query_time {
                 if day_over.load(Ordering::Acquire) {
                     return;
                 }
--- a/daemon/src/rehearse/play.rs
+++ b/daemon/src/rehearse/play.rs
@@ -28,8 +28,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// So many of the first managers are the seeds of all.
-const SEEDS: usize = 3;
+/// Number of managers, from the first on, that all managers contact at their start.
+const SEED_COUNT: usize = 3;
 /// Interval between probes of other members.
 const MEMBER_PERIOD: Ms = Ms(1_000.0);
 
@@ -183,7 +183,7 @@
         cluster: "rehearsal".into(),
         listen,
         advertise: *network.addresses.get(number)?,
-        seeds: network.addresses.iter().take(SEEDS).copied().collect(),
+        seeds: network.addresses.iter().take(SEED_COUNT).copied().collect(),
         keys: "keys".into(),
         period: MEMBER_PERIOD,
     })
--- a/daemon/src/rehearse/resource_usage.rs
+++ b/daemon/src/rehearse/resource_usage.rs
@@ -28,9 +28,10 @@
     let (before, began) = (measure(), Instant::now());
     wait(Duration::from_secs_f64(plan.rest.0 / 1e3), interrupted);
     let (after, seconds) = (measure(), began.elapsed().as_secs_f64());
-    let mean =
-        |of: &dyn Fn(&Cost) -> f64, costs: &[Cost]| costs.iter().map(of).sum::<f64>() / costs.len() as f64;
-    let rate = |of: &dyn Fn(&Cost) -> f64| (mean(of, &after) - mean(of, &before)) / seconds;
+    let mean = |figure: &dyn Fn(&Cost) -> f64, costs: &[Cost]| {
+        costs.iter().map(figure).sum::<f64>() / costs.len() as f64
+    };
+    let rate = |figure: &dyn Fn(&Cost) -> f64| (mean(figure, &after) - mean(figure, &before)) / seconds;
     recorder.note(Event::Rested {
         managers: after.len(),
         memory_kb: mean(&|cost| cost.memory_kb, &after),
@@ -50,6 +51,7 @@
     recorder.note(Event::Spent { cpu });
 }
 
+/// Waits for `duration`, or until an interruption.
 fn wait(duration: Duration, interrupted: &AtomicBool) {
     let until = Instant::now() + duration;
     while Instant::now() < until && !interrupted.load(Ordering::Acquire) {
--- a/daemon/src/trial/manager_process.rs
+++ b/daemon/src/trial/manager_process.rs
@@ -34,7 +34,9 @@
 
 /// One session manager of a trial. Dropping it kills it.
 pub struct ManagerProcess {
+    /// The manager's number, which names its folder.
     pub number: usize,
+    /// The address that the manager listens at.
     pub address: SocketAddr,
     launch: LaunchOptions,
     process: Process,
@@ -151,7 +153,7 @@
 
 /// Whether the manager answers an OPTIONS request with 200.
 fn is_ready(address: SocketAddr) -> bool {
-    let ask = || -> io::Result<bool> {
+    let request = || -> io::Result<bool> {
         let mut stream = TcpStream::connect_timeout(&address, READY_CHECK_TIMEOUT)?;
         stream.set_read_timeout(Some(READY_CHECK_TIMEOUT))?;
         stream.write_all(b"OPTIONS rtsp://media/ping RTSP/1.0\r\nCSeq: 3\r\nContent-Length: 0\r\n\r\n")?;
@@ -159,5 +161,5 @@
         let count = stream.read(&mut answer)?;
         Ok(answer[..count].starts_with(b"RTSP/1.0 200"))
     };
-    ask().unwrap_or(false)
+    request().unwrap_or(false)
 }
--- a/daemon/src/trial/manager_settings.rs
+++ b/daemon/src/trial/manager_settings.rs
@@ -8,7 +8,9 @@
 /// A class of set-ups.
 #[derive(Clone, Debug)]
 pub struct ClassSettings {
+    /// The class's name.
     pub name: String,
+    /// Whether a set-up of the class may be repeated.
     pub class: Class,
     /// The time within which an answer is promised.
     pub promise: Duration,
@@ -21,17 +23,22 @@
 /// The settings that all managers of a trial share.
 #[derive(Clone, Debug)]
 pub struct ManagerSettings {
+    /// The classes of set-ups.
     pub classes: Vec<ClassSettings>,
+    /// Number of managers.
     pub managers: usize,
     /// Most file descriptors that a process may hold open.
     pub sockets: usize,
     /// Number of cells that titles are divided among.
     pub cells: u64,
+    /// Limit for opening a connection to a server.
     pub connect_timeout: Duration,
     /// Servers close connections that are idle for this long.
     pub connection_idle: Duration,
     pub attempts_per_connection: u64,
+    /// Most attempts for a set-up.
     pub max_attempts: u64,
+    /// How long a draining server keeps accepting set-ups that are in flight.
     pub drain_grace: Duration,
     /// How long a server is cold after its start. If it is zero, servers are never cold.
     pub cold: Duration,
@@ -42,8 +49,8 @@
 /// Rates of the ladder's rungs, in kB per second.
 const RUNG_RATES_KB: [u64; 3] = [200, 400, 800];
 
-fn nanoseconds(span: Duration) -> u64 {
-    span.as_nanos() as u64
+fn nanoseconds(duration: Duration) -> u64 {
+    duration.as_nanos() as u64
 }
 
 impl ManagerSettings {
@@ -52,7 +59,8 @@
         self.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
 
-    /// The configuration file of one manager.
+    /// The configuration file of one manager. `channel` is the address of the command channel, `known` the value of
+    /// the key of that name.
     pub fn file(&self, manager: usize, listen: SocketAddr, channel: SocketAddr, known: &Value) -> Value {
         let classes: Vec<Value> = self.classes.iter().map(class).collect();
         let of_each = |value: u64| vec![value; classes.len()];
