--- a/daemon/src/rehearse/membership_views.rs
+++ b/daemon/src/rehearse/membership_views.rs
@@ -1,4 +1,5 @@
-//! Records how many other managers each manager considers alive, suspect, dead or departed, as reported by its metrics.
+//! Records how many other managers each manager considers alive, suspect, dead or departed, as
+//! reported by its metrics.
 
 use crate::settings::day::DayPlan;
 use ottersail_fake_servers::{FaultKind, Recorder};
--- a/daemon/src/settings/error.rs
+++ b/daemon/src/settings/error.rs
@@ -9,7 +9,7 @@
 /// Settings that can't be read or are invalid.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// The file can't be opened or read, or is no text.
+    /// The file can't be opened or read, is not a regular file, or is not valid UTF-8.
     #[error("{}: {cause}; name a settings file that this user may read", file.display())]
     Unreadable { file: PathBuf, cause: io::Error },
     /// An orders' file is longer than the limit.
