--- a/rollout/src/evidence.rs
+++ b/rollout/src/evidence.rs
@@ -9,6 +9,7 @@
 mod history;
 mod rank;
 mod set_up;
+mod statistics;
 mod sum;
 #[cfg(test)]
 mod tests;
@@ -18,6 +19,7 @@
 use crate::{InstanceId, MemberId};
 use fit::Fit;
 use history::MemberHistories;
+use statistics::log_mixture;
 use std::collections::BTreeMap;
 use sum::Sum;
 
@@ -32,27 +34,32 @@
 /// The tested increases as multiples of `points`, each with its share of the accepted false alarms.
 const EFFECT_SIZES: [(f64, f64); 3] = [(1.0, 0.5), (2.0, 0.25), (4.0, 0.25)];
 
-/// What a ready member has reported.
+/// The latest report of a ready member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberSample {
-    pub life: InstanceId,
-    /// It runs the ordered version.
+    /// The instance (one run of the process) that reported the counts.
+    pub instance: InstanceId,
+    /// Whether the member runs the ordered version.
     pub released: bool,
-    /// Counted since that life began, not since the last window.
+    /// Cumulative counts since the instance started, not since the last window.
     pub counts: ViewingCounts,
 }
 
-/// What a comparison is about.
+/// The quantity in which released and unreleased members are compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Measure {
+    /// The share of viewings that are blocked, aborted or broken off.
     BadEnds,
+    /// The mean time that the set-up of a viewing takes.
     SetUpTime,
 }
 
-/// Evidence strong enough to halt.
+/// Evidence strong enough to halt the release.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Verdict {
+    /// The measure in which the released members are worse.
     pub measure: Measure,
+    /// The comparison that led to the verdict.
     pub summary: EvidenceSummary,
 }
 
@@ -61,7 +68,9 @@
 pub struct EvidenceSummary {
     /// Windows in which both released and unreleased members were seen.
     pub windows: u64,
+    /// Totals of the released members since their release.
     pub released: GroupTotals,
+    /// Totals of the members not released, since the first release.
     pub not_released: GroupTotals,
     /// By how many percentage points more viewings end badly at released members, over all these windows.
     pub points: f64,
@@ -72,23 +81,28 @@
     pub bad_ends: f64,
     /// Natural logarithm of the evidence in set-up times.
     pub set_ups: f64,
-    /// Natural logarithm of the evidence that halts.
+    /// Natural logarithm of the evidence at which the release halts.
     pub halts_at: f64,
     /// An increase by `points` is ruled out, with an error rate of 5 in 100; a step that waits for this cannot have
     /// hidden it.
     pub cleared: bool,
 }
 
+/// Totals of the released or of the unreleased members.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct GroupTotals {
+    /// Number of members.
     pub members: usize,
+    /// Number of requested viewings, weighted: a member with far more than the median counts less.
     pub asked: f64,
+    /// Number of viewings that ended badly, with the same weights.
     pub bad: f64,
 }
 
-/// The sums of the members not released, as of the release of others.
+/// Members released at about the same time, with the sums that the unreleased members had by then.
 #[derive(Clone, Debug)]
 struct Cohort {
+    /// Number of the window of the release.
     window: u64,
     at_release: BTreeMap<MemberId, Sum>,
 }
@@ -106,6 +120,7 @@
 }
 
 impl Evidence {
+    /// Creates an empty comparison that halts as `halt_policy` says.
     pub fn new(halt_policy: HaltPolicy) -> Evidence {
         let alarms = f64::from(halt_policy.alarms.clamp(1, 10_000)) / 10_000.0;
         // Bad ends and set-up times each get half of the accepted false alarms.
@@ -139,7 +154,8 @@
         if !self.cohorts.is_empty() && window_sums.usual.is_some() && window_sums.both {
             self.evaluate();
         }
-        let exceeds = |it: f64| self.halt_policy.by_evidence && it >= self.summary.halts_at;
+        let exceeds =
+            |log_evidence: f64| self.halt_policy.by_evidence && log_evidence >= self.summary.halts_at;
         let measure = match (exceeds(self.summary.bad_ends), exceeds(self.summary.set_ups)) {
             (true, _) => Measure::BadEnds,
             (_, true) => Measure::SetUpTime,
@@ -148,13 +164,14 @@
         Some(Verdict { measure, summary: self.summary })
     }
 
+    /// The comparison as of the last window.
     pub fn summary(&self) -> EvidenceSummary {
         self.summary
     }
 
     fn release(&mut self, id: MemberId) {
-        let again = self.cohorts.last().is_none_or(|it| self.window >= it.window + COHORT_SPACING);
-        if again && self.cohorts.len() < MAX_COHORTS {
+        let spaced = self.cohorts.last().is_none_or(|cohort| self.window >= cohort.window + COHORT_SPACING);
+        if spaced && self.cohorts.len() < MAX_COHORTS {
             self.cohorts
                 .push(Cohort { window: self.window, at_release: self.histories.sums_of_unreleased() });
         }
@@ -163,35 +180,35 @@
 
     fn evaluate(&mut self) {
         let (mut bad_ends, mut set_ups) = ([0.0; EFFECT_SIZES.len()], [0.0; set_up::EFFECT_SIZES.len()]);
-        let (mut least_usual, mut count) = (usize::MAX, 0);
+        let (mut fewest_others, mut released_count) = (usize::MAX, 0);
         let (mut slowdown_sum, mut slowdown_count, mut ruled_out) = (0.0, 0.0, 0.0);
-        for (at, cohort) in self.cohorts.iter().enumerate() {
+        for (index, cohort) in self.cohorts.iter().enumerate() {
             let others = self.histories.unreleased_since(&cohort.at_release);
-            let ours: Vec<(Sum, Sum)> = self.samples_of_cohort(at).collect();
+            let ours: Vec<(Sum, Sum)> = self.samples_of_cohort(index).collect();
             if others.len() < MIN_MEMBERS || ours.is_empty() {
                 continue;
             }
-            (least_usual, count) = (least_usual.min(others.len()), count + ours.len());
+            (fewest_others, released_count) = (fewest_others.min(others.len()), released_count + ours.len());
             let fit = Fit::of(&others, self.histories.dispersion());
             let points = f64::from(self.halt_policy.points.clamp(1, 100)) / 100.0;
-            for (sum, (times, _)) in bad_ends.iter_mut().zip(EFFECT_SIZES) {
-                let (log, plain) = fit.evidence(&others, &ours, points * times);
+            for (sum, (multiple, _)) in bad_ends.iter_mut().zip(EFFECT_SIZES) {
+                let (log, plain_log) = fit.evidence(&others, &ours, points * multiple);
                 *sum += log;
-                ruled_out += if times == 1.0 { plain } else { 0.0 };
+                ruled_out += if multiple == 1.0 { plain_log } else { 0.0 };
             }
             let set_up_fit = set_up::Fit::of(&others);
-            for (sum, more) in set_ups.iter_mut().zip(set_up::EFFECT_SIZES) {
-                *sum += set_up_fit.evidence(&others, &ours, more);
+            for (sum, factor) in set_ups.iter_mut().zip(set_up::EFFECT_SIZES) {
+                *sum += set_up_fit.evidence(&others, &ours, factor);
             }
-            let (sum, of) = set_up_fit.mean(&ours);
-            (slowdown_sum, slowdown_count) = (slowdown_sum + sum, slowdown_count + of);
+            let (sum, members) = set_up_fit.log_slowdowns(&ours);
+            (slowdown_sum, slowdown_count) = (slowdown_sum + sum, slowdown_count + members);
         }
-        if count == 0 {
+        if released_count == 0 {
             return;
         }
         // The usual rate is known only from the unreleased members, and its error affects each released one. The discount
         // is twice that for two equal groups, since the few members that matter most vary more than all.
-        let confidence = least_usual as f64 / (least_usual + 2 * count) as f64;
+        let confidence = fewest_others as f64 / (fewest_others + 2 * released_count) as f64;
         let weights = EFFECT_SIZES.map(|(_, weight)| weight);
         self.summary.bad_ends = log_mixture(&bad_ends, &weights, confidence);
         let weights = [1.0 / set_ups.len() as f64; set_up::EFFECT_SIZES.len()];
@@ -203,45 +220,28 @@
     }
 
     /// The sums before and since the release, for each released member of the cohort.
-    fn samples_of_cohort(&self, at: usize) -> impl Iterator<Item = (Sum, Sum)> + '_ {
-        let ours = self.cohort_of.iter().filter(move |it| *it.1 == at);
+    fn samples_of_cohort(&self, cohort: usize) -> impl Iterator<Item = (Sum, Sum)> + '_ {
+        let ours = self.cohort_of.iter().filter(move |(_, index)| **index == cohort);
         ours.filter_map(|(id, _)| self.histories.released(*id))
     }
 
     fn update_totals(&mut self) {
-        let side = |sums: &mut dyn Iterator<Item = Sum>| {
-            sums.fold(GroupTotals::default(), |it, sum| GroupTotals {
-                members: it.members + 1,
-                asked: it.asked + sum.asked,
-                bad: it.bad + sum.bad,
+        let totals_of = |sums: &mut dyn Iterator<Item = Sum>| {
+            sums.fold(GroupTotals::default(), |totals, sum| GroupTotals {
+                members: totals.members + 1,
+                asked: totals.asked + sum.asked,
+                bad: totals.bad + sum.bad,
             })
         };
-        let first = &self.cohorts[0].at_release;
-        self.summary.not_released =
-            side(&mut self.histories.unreleased_since(first).into_iter().map(|it| it.1));
+        let at_first_release = &self.cohorts[0].at_release;
+        self.summary.not_released = totals_of(
+            &mut self.histories.unreleased_since(at_first_release).into_iter().map(|(_, since)| since),
+        );
         let ours = self.cohort_of.keys().filter_map(|id| self.histories.released(*id));
-        let ours: Vec<Sum> = ours.map(|it| it.1).collect();
-        self.summary.released = side(&mut ours.iter().copied());
-        let expected: f64 = ours.iter().map(|it| it.expected).sum();
+        let ours: Vec<Sum> = ours.map(|(_, since)| since).collect();
+        self.summary.released = totals_of(&mut ours.iter().copied());
+        let expected: f64 = ours.iter().map(|since| since.expected).sum();
         let GroupTotals { asked, bad, .. } = self.summary.released;
         self.summary.points = if asked > 0.0 { 100.0 * (bad - expected) / asked } else { 0.0 };
     }
 }
-
-/// The logarithm of the weighted mean of the evidence for several effect sizes.
-fn log_mixture(logs: &[f64], weights: &[f64], confidence: f64) -> f64 {
-    let most = logs.iter().fold(f64::MIN, |most, it| most.max(it * confidence));
-    let sum: f64 = logs.iter().zip(weights).map(|(it, weight)| weight * (it * confidence - most).exp()).sum();
-    most + sum.ln()
-}
-
-/// The median; 0 for an empty list.
-fn median(mut list: Vec<f64>) -> f64 {
-    list.sort_by(f64::total_cmp);
-    let half = list.len() / 2;
-    match list.len() {
-        0 => 0.0,
-        outliers if outliers % 2 == 1 => list[half],
-        _ => (list[half - 1] + list[half]) / 2.0,
-    }
-}
--- a/rollout/src/evidence/fit.rs
+++ b/rollout/src/evidence/fit.rs
@@ -6,10 +6,12 @@
 const PRIOR_WEIGHT: f64 = 5.0;
 /// Prior of the squared relative deviation of a member's rate from its history.
 const SPREAD: f64 = 0.05;
+/// Minimum of that deviation, which limits the evidence of one member.
 const MIN_SPREAD: f64 = 0.01;
 /// Minimum rate of bad ends, relative to which an increase is measured.
 const MIN_RATE: f64 = 0.005;
 
+/// The distribution of bad ends at members that are not released.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Fit {
     /// The mean number of viewings that end badly together.
@@ -23,17 +25,21 @@
 }
 
 impl Fit {
+    /// Fits the distribution to the sums of the unreleased members before and since the release of others.
     pub fn of(others: &[(Sum, Sum)], dispersion: f64) -> Fit {
-        let between_members = shape(others.iter().map(|it| (it.0.bad, it.0.expected)), dispersion);
+        let between_members =
+            shape(others.iter().map(|(before, _)| (before.bad, before.expected)), dispersion);
         let mut fit = Fit { dispersion, between_members, within_member: 0.0, rate: 0.0 };
-        fit.within_member =
-            shape(others.iter().map(|it| (it.1.bad, it.1.expected * fit.relative_rate(&it.0))), dispersion);
-        let (bad, asked) = others.iter().fold((0.0, 0.0), |it, of| (it.0 + of.1.bad, it.1 + of.1.asked));
+        let since_release =
+            others.iter().map(|(before, since)| (since.bad, since.expected * fit.relative_rate(before)));
+        fit.within_member = shape(since_release, dispersion);
+        let (bad, asked) =
+            others.iter().fold((0.0, 0.0), |(bad, asked), (_, since)| (bad + since.bad, asked + since.asked));
         fit.rate = (bad / asked).max(MIN_RATE);
         fit
     }
 
-    /// A member's usual rate relative to that of all.
+    /// A member's usual rate relative to the mean rate of all members.
     fn relative_rate(&self, before: &Sum) -> f64 {
         (self.between_members + before.bad / self.dispersion)
             / (self.between_members + before.expected / self.dispersion)
@@ -52,11 +58,11 @@
     /// ruled out.
     pub fn evidence(&self, others: &[(Sum, Sum)], ours: &[(Sum, Sum)], increase: f64) -> (f64, f64) {
         let times = 1.0 + increase / self.rate;
-        let Some(rank) = Rank::of(others.iter().map(|it| self.log_ratio(it, times)).collect()) else {
+        let Some(rank) = Rank::of(others.iter().map(|sums| self.log_ratio(sums, times)).collect()) else {
             return (0.0, 0.0);
         };
-        let logs = ours.iter().map(|it| self.log_ratio(it, times));
-        logs.fold((0.0, 0.0), |sum, it| (sum.0 + rank.log(it), sum.1 + it))
+        let logs = ours.iter().map(|sums| self.log_ratio(sums, times));
+        logs.fold((0.0, 0.0), |(ranked, plain), log| (ranked + rank.log(log), plain + log))
     }
 }
 
@@ -65,7 +71,7 @@
     let count = pairs.clone().count() as f64;
     let excess: f64 =
         pairs.clone().map(|(actual, expected)| (actual - expected).powi(2) - dispersion * expected).sum();
-    let squares: f64 = pairs.map(|it| it.1.powi(2)).sum();
+    let squares: f64 = pairs.map(|(_, expected)| expected.powi(2)).sum();
     let prior = PRIOR_WEIGHT * squares / count.max(1.0);
     let spread = (excess + SPREAD * prior) / (squares + prior).max(1e-9);
     1.0 / spread.max(MIN_SPREAD)
--- a/rollout/src/evidence/rank.rs
+++ b/rollout/src/evidence/rank.rs
@@ -17,16 +17,16 @@
 }
 
 impl Rank {
-    /// `None` if there are too few.
+    /// Ranks the logarithms of the evidence at the unreleased members; `None` if there are too few of them.
     pub fn of(mut logs: Vec<f64>) -> Option<Rank> {
         let outliers = 1 + logs.len() / OUTLIER_SHARE;
         if logs.len() < outliers + 2 {
             return None;
         }
-        logs.sort_unstable_by(|one, other| other.total_cmp(one));
+        logs.sort_unstable_by(|left, right| right.total_cmp(left));
         let mut rest = vec![0.0; logs.len() + 1];
-        for at in (outliers..logs.len()).rev() {
-            rest[at] = (logs[at] - logs[outliers]).exp() + rest[at + 1];
+        for index in (outliers..logs.len()).rev() {
+            rest[index] = (logs[index] - logs[outliers]).exp() + rest[index + 1];
         }
         Some(Rank { logs, rest, outliers })
     }
@@ -36,14 +36,14 @@
     /// as 1: with few members it arises by chance, and would add evidence for each released member.
     pub fn log(&self, own: f64) -> f64 {
         let (above, next) = (self.logs[self.outliers - 1], self.logs[self.outliers]);
-        let few = (self.outliers + 1) as f64;
+        let outlier_count = (self.outliers + 1) as f64;
         let sum = match own < next {
-            true => few + self.rest[self.outliers + 1] + (own - next).exp(),
-            false => few * (own.min(above) - next).min(600.0).exp() + self.rest[self.outliers],
+            true => outlier_count + self.rest[self.outliers + 1] + (own - next).exp(),
+            false => outlier_count * (own.min(above) - next).min(600.0).exp() + self.rest[self.outliers],
         };
         let all = (self.logs.len() + 1) as f64;
         let log = own - ((sum / all).ln() + next).max(0.0);
-        let most = (all / few).ln();
-        log.min(most) + EXCESS_WEIGHT * (log - most).max(0.0)
+        let bound = (all / outlier_count).ln();
+        log.min(bound) + EXCESS_WEIGHT * (log - bound).max(0.0)
     }
 }
--- a/rollout/src/evidence/sum.rs
+++ b/rollout/src/evidence/sum.rs
@@ -5,12 +5,17 @@
 /// Sums over some windows.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Sum {
+    /// Requested viewings.
     pub asked: f64,
+    /// Viewings that were blocked, aborted or broken off.
     pub bad: f64,
     /// Bad ends to expect at the rate of the unreleased members in the same seconds.
     pub expected: f64,
+    /// Completed set-ups of viewings.
     pub set_ups: f64,
+    /// Total time of these set-ups in milliseconds.
     pub set_up_ms: f64,
+    /// Total set-up time to expect at the median of the unreleased members in the same seconds.
     pub expected_set_up_ms: f64,
 }
 
--- a/rollout/src/evidence/tests.rs
+++ b/rollout/src/evidence/tests.rs
@@ -102,7 +102,7 @@
     let mut play = part_way(3);
     let (before, mut told) = (play.evidence.summary(), play.told());
     for (at, it) in told.values_mut().filter(|it| it.released == released).enumerate() {
-        it.life = if at % 2 == 0 { InstanceId(77) } else { it.life };
+        it.instance = if at % 2 == 0 { InstanceId(77) } else { it.instance };
         let bad = if at % 2 == 0 { 900_000 } else { 1 };
         it.counts = ViewingCounts { asked: bad, blocked: bad, ..ViewingCounts::default() };
     }
--- a/rollout/src/evidence/tests/fleet.rs
+++ b/rollout/src/evidence/tests/fleet.rs
@@ -140,9 +140,9 @@
     pub fn told(&self) -> BTreeMap<MemberId, MemberSample> {
         let whole = self.fleet.iter().enumerate().filter(|it| it.1.released.is_none_or(|at| at >= 0));
         let told = whole.map(|(at, it)| {
-            let (released, life) = (it.released.is_some(), InstanceId(it.life));
+            let (released, instance) = (it.released.is_some(), InstanceId(it.life));
             let counts = if self.liars.contains(&at) { self.lie(it.counts) } else { it.counts };
-            (MemberId(at as u64), MemberSample { life, released, counts })
+            (MemberId(at as u64), MemberSample { instance, released, counts })
         });
         told.collect()
     }
--- a/rollout/src/evidence_check.rs
+++ b/rollout/src/evidence_check.rs
@@ -59,8 +59,8 @@
             return;
         }
         self.evidence_check.next_window = Some(now + self.period * WINDOW_PERIODS);
-        let sample = |status: &crate::MemberStatus, life| MemberSample {
-            life,
+        let sample = |status: &crate::MemberStatus, instance| MemberSample {
+            instance,
             released: status.version == order.version,
             counts: status.counts,
         };
