--- a/rollout/src/evidence/tests/plan.rs
+++ b/rollout/src/evidence/tests/plan.rs
@@ -1,20 +1,21 @@
-//! Which release is simulated.
+//! Parameters of a simulated release.
 
+/// How bad ends of viewings vary at an unchanged version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Noise {
-    /// Each viewing by itself.
+    /// Bad ends are independent.
     Plain,
-    /// Three viewings in the mean end badly together, and asking comes in bursts.
+    /// On average three viewings end badly together, and requests arrive in bursts.
     Bursts,
-    /// Members' rates differ for good (logarithms by 0.5).
+    /// Members' rates differ permanently (standard deviation of the logarithm 0.5).
     Differ,
-    /// Members' rates wander (logarithms by 0.5, half forgotten in 20 s).
+    /// Members' rates drift (standard deviation of the logarithm 0.5, half-life of a deviation 20 s).
     Wander,
-    /// For 20 s of the first steps all end badly 20 points more often.
+    /// For 20 s during the first steps, bad ends increase by 20 percentage points at all members.
     Lost,
-    /// For 20 s those of one zone in three do, by 30 points.
+    /// For 20 s, they increase by 30 percentage points in one of three zones.
     LostZone,
-    /// All of this at once.
+    /// All of these at once.
     All,
 }
 
@@ -24,40 +25,43 @@
 };
 
 impl Noise {
-    pub fn has(self, it: Noise) -> bool {
-        self == it || self == Noise::All
+    pub fn has(self, kind: Noise) -> bool {
+        self == kind || self == Noise::All
     }
 }
 
-/// What some of those released last tell in place of their counts.
+/// What faulty members, which are among the last to be released, report instead of their counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lie {
-    /// No end of viewings, all bad, and each set-up without end.
+pub enum FalseReport {
+    /// An absurd number of viewings, all bad, with absurdly long set-ups.
     AllBad,
-    /// No end of viewings, all good.
+    /// An absurd number of viewings, all good.
     AllGood,
-    /// Of their own viewings, three in ten more are bad.
+    /// Their own viewings, with 30 % more of them blocked.
     Worse,
 }
 
+/// A release and the fleet on which it is simulated.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     pub members: usize,
-    /// Viewings a second at each member.
+    /// Requested viewings per second at each member.
     pub rate: f64,
+    /// Share of viewings that end badly at the old version.
     pub base: f64,
     pub noise: Noise,
-    /// Added to the bad ends of the version ordered ...
+    /// Increase of that share at the ordered version.
     pub worse: f64,
-    /// ... from so many windows after it was settled.
+    /// Number of windows after a member has settled from which the increase applies.
     pub after: usize,
-    /// Its set-ups take so many times as long.
+    /// Factor by which set-ups take longer at the ordered version.
     pub slower: f64,
-    /// Steps one and two are held until `points` more are ruled out.
+    /// Whether the second step lasts until an increase by `points` is ruled out.
     pub held: bool,
-    pub liars: usize,
-    pub lie: Lie,
-    /// Steps gone through: one, 5 %, 25 %, all.
+    /// Number of members that report false counts.
+    pub false_reporters: usize,
+    pub false_report: FalseReport,
+    /// Number of steps that are carried out, of: one member, 5 %, 25 %, all.
     pub steps: usize,
 }
 
@@ -70,7 +74,7 @@
     after: 0,
     slower: 1.0,
     held: false,
-    liars: 0,
-    lie: Lie::AllBad,
+    false_reporters: 0,
+    false_report: FalseReport::AllBad,
     steps: 4,
 };
