--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -1,7 +1,9 @@
 //! Membership: a task on the owner's executor with one datagram socket, the state machine of `ottersail-membership`
-//! and its gate. It carries bytes, time and wishes between them; nothing is decided here.
+//! and the authentication of its datagrams. It passes bytes, deadlines and effects between them; it makes no
+//! decisions itself.
 
 mod address_book;
+mod config;
 mod council;
 mod effects;
 mod http_address;
@@ -15,14 +17,13 @@
 use crate::settings::manager::ManagerSettings;
 use address_book::AddressBook;
 use async_channel::{Receiver, Sender};
+pub use config::member_terms;
 use council::{Council, CouncilTasks};
 use effects::MemberEffects;
 pub use http_address::MEMBER_HEADER;
 use http_address::{HttpAddress, HttpAddresses, ProbeLimit};
 use ottersail_membership::auth::{DatagramAuth, Opened};
-use ottersail_membership::{
-    Address, InstanceId, LocalMember, MemberId, Members, MembershipConfig, Message, Sender as From,
-};
+use ottersail_membership::{Address, InstanceId, MemberId, Members, Message, Sender as From};
 use ottersail_net::{Datagrams, Executor, Timer};
 use ottersail_signed_urls::Keys;
 use std::cell::{Cell, RefCell};
@@ -43,19 +44,20 @@
 
 /// This manager's membership and its part in the council.
 pub struct Fleet {
-    me: Weak<Fleet>,
+    weak_self: Weak<Fleet>,
     exec: Executor,
     began: Instant,
     name: String,
     socket: Datagrams,
     members: RefCell<Members>,
-    gate: RefCell<DatagramAuth>,
+    auth: RefCell<DatagramAuth>,
     addresses: RefCell<AddressBook>,
-    /// Its own HTTP address.
+    /// This member's own HTTP address.
     http_address: Option<HttpAddress>,
     http_addresses: RefCell<HttpAddresses>,
     probe_limit: ProbeLimit,
     period: Duration,
+    /// When the membership's timer task wakes next, in milliseconds as [`Fleet::now`] counts them.
     timer_at: Cell<f64>,
     timer_changed: (Sender<()>, Receiver<()>),
     counters: metrics::TrafficCounters,
@@ -67,28 +69,6 @@
     RandomState::new().build_hasher().finish()
 }
 
-/// The membership configuration from the settings; `None` if they have no `[members]`.
-///
-/// # Errors
-/// If the configuration is invalid.
-pub fn member_terms(
-    manager: &ManagerSettings,
-    life: InstanceId,
-) -> Result<Option<MembershipConfig>, RunError> {
-    let Some(told) = &manager.members else {
-        return Ok(None);
-    };
-    let (name, site) = (told.name.clone(), manager.terms.zone.to_string());
-    let id = MemberId::of(&told.cluster, &name);
-    let mut terms = MembershipConfig::new(
-        LocalMember { name, id, instance: life, address: told.advertise, site },
-        told.seeds.clone(),
-    );
-    terms.probe_period = told.period;
-    terms.check()?;
-    Ok(Some(terms))
-}
-
 impl Fleet {
     /// Starts the tasks; `None` without `[members]`, and then no socket is opened.
     ///
@@ -100,40 +80,45 @@
         manager: &ManagerSettings,
         owner: &Rc<PlacementOwner>,
     ) -> Result<Option<Rc<Fleet>>, RunError> {
-        let life = InstanceId(unpredictable());
-        let (Some(told), Some(terms)) = (&manager.members, member_terms(manager, life)?) else {
+        let instance = InstanceId(unpredictable());
+        let (Some(settings), Some(config)) = (&manager.members, member_terms(manager, instance)?) else {
             return Ok(None);
         };
-        let address = SocketAddr::V4(told.listen);
+        let address = SocketAddr::V4(settings.listen);
         let socket = Datagrams::bind(address).map_err(|cause| RunError::Datagrams { address, cause })?;
-        let gate =
-            DatagramAuth::new(terms.local.id, life, &told.cluster, load_member_keys(told)?, unpredictable());
-        let (id, name) = (terms.local.id, told.name.clone());
-        let mut members = Members::new(ottersail::time::Ms(0.0), seed, terms);
-        let http_address = HttpAddress::of(&manager.listen, told.advertise);
+        let auth = DatagramAuth::new(
+            config.local.id,
+            instance,
+            &settings.cluster,
+            load_member_keys(settings)?,
+            unpredictable(),
+        );
+        let (id, name) = (config.local.id, settings.name.clone());
+        let mut members = Members::new(ottersail::time::Ms(0.0), seed, config);
+        let http_address = HttpAddress::of(&manager.listen, settings.advertise);
         if let Some(address) = http_address {
             members.set_piggyback(http_address::TOPIC, &address.encode());
         }
-        let council = Council::born(ottersail::time::Ms(0.0), seed, life, manager);
-        let fleet = Rc::new_cyclic(|me| Fleet {
-            me: me.clone(),
+        let council = Council::born(ottersail::time::Ms(0.0), seed, instance, manager);
+        let fleet = Rc::new_cyclic(|weak_self| Fleet {
+            weak_self: weak_self.clone(),
             exec,
             began: Instant::now(),
             name: name.clone(),
             socket,
             members: RefCell::new(members),
-            gate: RefCell::new(gate),
+            auth: RefCell::new(auth),
             addresses: RefCell::default(),
             http_address,
             http_addresses: RefCell::default(),
             probe_limit: ProbeLimit::default(),
-            period: Duration::from_secs_f64(told.period.0 / 1e3),
+            period: Duration::from_secs_f64(settings.period.0 / 1e3),
             timer_at: Cell::new(f64::INFINITY),
             timer_changed: async_channel::bounded(1),
             counters: metrics::TrafficCounters::default(),
             council_tasks: CouncilTasks::new(council, owner),
         });
-        info!(target: "members", name, %id, %life, listen = %told.listen, cluster = told.cluster, "member");
+        info!(target: "members", name, %id, life = %instance, listen = %settings.listen, cluster = settings.cluster, "member");
         exec.spawn(fleet.clone().listen()).detach();
         exec.spawn(fleet.clone().run_timer()).detach();
         fleet.start_council();
@@ -151,8 +136,9 @@
         partner: Option<(Address, MemberId)>,
         input: impl FnOnce(&mut Members, &mut MemberEffects),
     ) {
-        let (dials, newly_alive, heard) = (Vec::new(), Vec::new(), Vec::new());
-        let mut effects = MemberEffects { fleet: self, partner, dials, newly_alive, heard, changed: false };
+        let (dials, newly_alive, messages) = (Vec::new(), Vec::new(), Vec::new());
+        let mut effects =
+            MemberEffects { fleet: self, partner, dials, newly_alive, messages, changed: false };
         let mut members = self.members.borrow_mut();
         input(&mut members, &mut effects);
         if effects.changed {
@@ -162,28 +148,30 @@
         // Piggybacked data comes with probes, one a period; until then a new member might be unreachable for all.
         for id in std::mem::take(&mut effects.newly_alive) {
             let now = self.now();
-            self.http_address
-                .map(|it| members.send_message(now, id, http_address::TOPIC, &it.encode(), &mut effects));
+            self.http_address.map(|address| {
+                members.send_message(now, id, http_address::TOPIC, &address.encode(), &mut effects)
+            });
         }
-        let MemberEffects { dials, heard, .. } = effects;
+        let MemberEffects { dials, messages, .. } = effects;
         let due = members.next_deadline().0;
         drop(members);
         dials.into_iter().for_each(|(to, tag)| self.dial(to, tag));
         if due < self.timer_at.get() {
             _ = self.timer_changed.0.try_send(());
         }
-        self.on_upper_layer(heard);
+        self.on_upper_layer(messages);
     }
 
+    /// Receives datagrams for as long as the process runs.
     async fn listen(self: Rc<Fleet>) {
         let mut bytes = [0; BUFFER_BYTES];
         let mut in_a_row = 0;
         loop {
-            let heard = self.socket.receive(&mut bytes).await;
-            match heard {
-                Ok((count, SocketAddr::V4(from))) => self.heard(from, &bytes[..count]),
+            let received = self.socket.receive(&mut bytes).await;
+            match received {
+                Ok((count, SocketAddr::V4(from))) => self.on_datagram(from, &bytes[..count]),
                 // An error that the system reports for an earlier send, such as an unused port.
-                Ok(_) | Err(_) => self.counters.odd.set(self.counters.odd.get() + 1),
+                Ok(_) | Err(_) => self.counters.receive_errors.set(self.counters.receive_errors.get() + 1),
             }
             in_a_row += 1;
             if in_a_row >= DATAGRAMS_IN_A_ROW {
@@ -193,14 +181,17 @@
         }
     }
 
-    fn heard(&self, from: Address, bytes: &[u8]) {
-        self.counters.taken(bytes.len());
+    /// Authenticates a received datagram and passes its message to the membership, or sends the reply it needs.
+    fn on_datagram(&self, from: Address, bytes: &[u8]) {
+        self.counters.received(bytes.len());
         let now = self.now();
-        let opened = self.gate.borrow_mut().open::<Message>(now, bytes);
+        let opened = self.auth.borrow_mut().open::<Message>(now, bytes);
         match opened {
             Opened::Message { from: id, instance, message } => {
                 let sender = From { id, instance, address: from };
-                self.with_members(Some((from, id)), |it, out| it.handle_message(now, sender, message, out));
+                self.with_members(Some((from, id)), |members, out| {
+                    members.handle_message(now, sender, message, out)
+                });
             }
             Opened::Challenge(reply) | Opened::Resend(reply) => self.send(&reply, from),
             Opened::Dropped(_) => {}
@@ -217,14 +208,14 @@
         loop {
             let due = self.members.borrow().next_deadline();
             self.timer_at.set(due.0);
-            let at = self.began + Duration::from_secs_f64(due.0.clamp(0.0, 1e12) / 1e3);
-            futures_lite::future::or(Timer::at(at), async {
+            let wake_at = self.began + Duration::from_secs_f64(due.0.clamp(0.0, 1e12) / 1e3);
+            futures_lite::future::or(Timer::at(wake_at), async {
                 _ = self.timer_changed.1.recv().await;
             })
             .await;
             let now = self.now();
             if self.members.borrow().next_deadline() <= now {
-                self.with_members(None, |it, out| it.handle_deadline(now, out));
+                self.with_members(None, |members, out| members.handle_deadline(now, out));
             }
             // Other tasks run between two timers, however many are due.
             futures_lite::future::yield_now().await;
@@ -233,14 +224,14 @@
 
     /// Uses other keys from now on; the states of known members stay.
     pub fn rekey(&self, keys: &Keys) {
-        self.gate.borrow_mut().set_keys(keys);
+        self.auth.borrow_mut().set_keys(keys);
     }
 
     /// Returns the leased slots, waiting no longer than `at_most`, and announces that this member leaves.
     pub async fn leave(&self, at_most: Duration) {
         self.give_back(at_most).await;
         let now = self.now();
-        self.with_members(None, |it, out| it.leave(now, out));
+        self.with_members(None, |members, out| members.leave(now, out));
         info!(target: "members", name = self.name, "left");
     }
 }
--- a/daemon/src/fleet/address_book.rs
+++ b/daemon/src/fleet/address_book.rs
@@ -8,16 +8,18 @@
 pub(super) struct AddressBook(BTreeMap<Address, Option<MemberId>>);
 
 impl AddressBook {
+    /// Replaces the addresses by those of the roster's members that are alive or suspect.
     pub fn read<'a>(&mut self, roster: impl Iterator<Item = (&'a MemberId, &'a MemberView)>) {
         self.0.clear();
-        for (id, known) in roster.filter(|it| matches!(it.1.state, State::Alive | State::Suspect)) {
+        for (id, known) in roster.filter(|(_, known)| matches!(known.state, State::Alive | State::Suspect)) {
             let entry = self.0.entry(known.address);
-            entry.and_modify(|it| *it = None).or_insert(Some(*id));
+            entry.and_modify(|member| *member = None).or_insert(Some(*id));
         }
     }
 
-    pub fn id(&self, at: Address) -> Option<MemberId> {
-        self.0.get(&at).copied().flatten()
+    /// The only member at that address, if there is exactly one.
+    pub fn id(&self, address: Address) -> Option<MemberId> {
+        self.0.get(&address).copied().flatten()
     }
 }
 
@@ -42,7 +44,7 @@
     }
 
     #[test]
-    fn an_address_of_two_is_of_nobody_and_the_dead_have_none() {
+    fn shared_addresses_and_those_of_dead_members_yield_no_member() {
         let roster = [
             (MemberId(1), known(1, State::Alive)),
             (MemberId(2), known(2, State::Suspect)),
@@ -51,8 +53,11 @@
             (MemberId(5), known(2, State::Left)),
         ];
         let mut book = AddressBook::default();
-        book.read(roster.iter().map(|it| (&it.0, &it.1)));
-        let at = |port| book.id(Address::new([127, 0, 0, 1].into(), port));
-        assert_eq!([at(1), at(2), at(3), at(9)], [None, Some(MemberId(2)), None, None]);
+        book.read(roster.iter().map(|(id, known)| (id, known)));
+        let member_at = |port| book.id(Address::new([127, 0, 0, 1].into(), port));
+        assert_eq!(
+            [member_at(1), member_at(2), member_at(3), member_at(9)],
+            [None, Some(MemberId(2)), None, None]
+        );
     }
 }
--- a/daemon/src/fleet/effects.rs
+++ b/daemon/src/fleet/effects.rs
@@ -7,28 +7,30 @@
 /// Sends messages immediately. Probes over HTTP start only after the membership has returned, since their results are
 /// inputs to it.
 pub(super) struct MemberEffects<'a> {
+    /// The fleet whose socket, addresses and counters are used.
     pub fleet: &'a Fleet,
     /// The member that is being answered; the address book may not know it yet.
     pub partner: Option<(Address, MemberId)>,
+    /// Members to probe over HTTP.
     pub dials: Vec<(Address, DialId)>,
     /// Members that joined or returned.
     pub newly_alive: Vec<MemberId>,
     /// Messages for the upper layers, passed on after the membership has returned, since they may send in turn.
-    pub heard: Vec<(MemberId, Topic, Vec<u8>)>,
-    /// The roster has changed, so addresses may have changed too.
+    pub messages: Vec<(MemberId, Topic, Vec<u8>)>,
+    /// Whether the roster has changed, so that addresses may have changed too.
     pub changed: bool,
 }
 
 impl Effects for MemberEffects<'_> {
     fn send(&mut self, to: Address, message: &Message) {
-        let partner = self.partner.filter(|it| it.0 == to).map(|it| it.1);
+        let partner = self.partner.filter(|(address, _)| *address == to).map(|(_, id)| id);
         let id = partner.or_else(|| self.fleet.addresses.borrow().id(to));
-        let sealed = self.fleet.gate.borrow_mut().seal(id, message);
+        let sealed = self.fleet.auth.borrow_mut().seal(id, message);
         match sealed {
             Ok(bytes) => self.fleet.send(&bytes, to),
-            Err(trouble) => {
+            Err(error) => {
                 self.fleet.counters.unsealed.set(self.fleet.counters.unsealed.get() + 1);
-                error!(target: "members", %trouble, %to, "a message could not be sent");
+                error!(target: "members", trouble = %error, %to, "a message could not be sent");
             }
         }
     }
@@ -41,7 +43,7 @@
         if topic == http_address::TOPIC {
             self.fleet.http_addresses.borrow_mut().insert(from, bytes);
         } else {
-            self.heard.push((from, topic, bytes.to_vec()));
+            self.messages.push((from, topic, bytes.to_vec()));
         }
     }
 
--- a/daemon/src/fleet/http_address.rs
+++ b/daemon/src/fleet/http_address.rs
@@ -25,18 +25,20 @@
 impl HttpAddress {
     /// The address of a manager that listens at `listen`; if that is any address, its advertised one is used.
     pub fn of(listen: &str, advertise: Address) -> Option<HttpAddress> {
-        let SocketAddr::V4(at) = listen.parse().ok()? else {
+        let SocketAddr::V4(address) = listen.parse().ok()? else {
             return None;
         };
-        let ip = if at.ip().is_unspecified() { *advertise.ip() } else { *at.ip() };
-        Some(HttpAddress(SocketAddrV4::new(ip, at.port())))
+        let ip = if address.ip().is_unspecified() { *advertise.ip() } else { *address.ip() };
+        Some(HttpAddress(SocketAddrV4::new(ip, address.port())))
     }
 
+    /// The announced form: four octets of the IP address, then the port in network byte order.
     pub fn encode(self) -> [u8; 6] {
         let ([a, b, c, d], [high, low]) = (self.0.ip().octets(), self.0.port().to_be_bytes());
         [a, b, c, d, high, low]
     }
 
+    /// Takes `address` itself as the HTTP address.
     pub fn at(address: Address) -> HttpAddress {
         HttpAddress(address)
     }
@@ -69,17 +71,18 @@
         if self.0.len() <= MAX_ADDRESSES {
             return;
         }
-        let known: BTreeSet<&MemberId> = roster.map(|it| it.0).collect();
+        let known: BTreeSet<&MemberId> = roster.map(|(id, _)| id).collect();
         self.0.retain(|id, _| known.contains(id));
     }
 
+    /// The member's HTTP address, if it has announced one.
     pub fn of<'a>(
         &self,
         id: MemberId,
         mut roster: impl Iterator<Item = (&'a MemberId, &'a MemberView)>,
     ) -> Option<HttpAddress> {
         let announced = self.0.get(&id).copied();
-        announced.or_else(|| HttpAddress::piggybacked(roster.find(|it| *it.0 == id)?.1))
+        announced.or_else(|| HttpAddress::piggybacked(roster.find(|(member, _)| **member == id)?.1))
     }
 
     /// How many of the members have announced their address.
@@ -98,10 +101,11 @@
 pub(super) struct ProbeSlot(Rc<Cell<usize>>);
 
 impl ProbeLimit {
+    /// Reserves one of [`MAX_PROBES`] probes; `None` if all of them run.
     pub fn acquire(&self) -> Option<ProbeSlot> {
-        let out = self.0.get();
-        (out < MAX_PROBES).then(|| {
-            self.0.set(out + 1);
+        let running = self.0.get();
+        (running < MAX_PROBES).then(|| {
+            self.0.set(running + 1);
             ProbeSlot(self.0.clone())
         })
     }
@@ -122,8 +126,8 @@
 fn names_member(head: &[u8], id: MemberId) -> bool {
     let head = String::from_utf8_lossy(head);
     let named = |line: &str| {
-        let announced = line.split_once(':').filter(|it| it.0.eq_ignore_ascii_case(MEMBER_HEADER));
-        announced.is_some_and(|it| it.1.trim() == id.to_string())
+        let header = line.split_once(':').filter(|(name, _)| name.eq_ignore_ascii_case(MEMBER_HEADER));
+        header.is_some_and(|(_, value)| value.trim() == id.to_string())
     };
     head.starts_with("HTTP/") && head.lines().any(named)
 }
@@ -139,7 +143,7 @@
         stream.write_all(request.as_bytes()).await.ok()?;
         let (mut head, mut piece) = (Vec::new(), [0; 256]);
         while head.len() < MAX_HEAD_BYTES && !names_member(&head, id) {
-            let count = stream.read(&mut piece).await.ok().filter(|it| *it > 0)?;
+            let count = stream.read(&mut piece).await.ok().filter(|count| *count > 0)?;
             head.extend_from_slice(&piece[..count]);
         }
         names_member(&head, id).then_some(())
@@ -159,7 +163,7 @@
     use std::net::TcpListener;
     use test_case::test_case;
 
-    fn at(text: &str) -> Address {
+    fn address_of(text: &str) -> Address {
         text.parse().unwrap()
     }
 
@@ -167,28 +171,31 @@
     #[test_case("0.0.0.0:80", Some("10.0.0.9:80"); "any address")]
     #[test_case("[::1]:80", None; "not IPv4")]
     fn a_door_is_where_the_manager_listens(listen: &str, expected: Option<&str>) {
-        assert_eq!(HttpAddress::of(listen, at("10.0.0.9:7946")), expected.map(|it| HttpAddress(at(it))));
+        assert_eq!(
+            HttpAddress::of(listen, address_of("10.0.0.9:7946")),
+            expected.map(|text| HttpAddress(address_of(text)))
+        );
     }
 
     #[test]
     fn a_door_that_was_told_is_kept_and_so_many_at_most() {
-        let (mut doors, address) = (HttpAddresses::default(), HttpAddress(at("10.0.0.9:80")));
-        doors.insert(MemberId(1), &address.encode());
-        doors.insert(MemberId(2), b"none");
+        let (mut addresses, address) = (HttpAddresses::default(), HttpAddress(address_of("10.0.0.9:80")));
+        addresses.insert(MemberId(1), &address.encode());
+        addresses.insert(MemberId(2), b"none");
         let none = || std::iter::empty::<(&MemberId, &MemberView)>();
-        doors.prune(none());
-        assert_eq!([1, 2].map(|it| doors.of(MemberId(it), none())), [Some(address), None]);
-        (0..MAX_ADDRESSES as u64).for_each(|it| doors.insert(MemberId(3 + it), &address.encode()));
-        doors.prune(none());
-        assert_eq!((doors.of(MemberId(1), none()), doors.0.len()), (None, 0));
+        addresses.prune(none());
+        assert_eq!([1, 2].map(|id| addresses.of(MemberId(id), none())), [Some(address), None]);
+        (0..MAX_ADDRESSES as u64).for_each(|extra| addresses.insert(MemberId(3 + extra), &address.encode()));
+        addresses.prune(none());
+        assert_eq!((addresses.of(MemberId(1), none()), addresses.0.len()), (None, 0));
     }
 
     #[test]
-    fn so_many_knocks_are_out_and_no_more() {
+    fn the_number_of_concurrent_probes_is_limited() {
         let probe_limit = ProbeLimit::default();
-        let mut out: Vec<ProbeSlot> = (0..MAX_PROBES).filter_map(|_| probe_limit.acquire()).collect();
-        assert!(out.len() == MAX_PROBES && probe_limit.acquire().is_none());
-        out.pop();
+        let mut running: Vec<ProbeSlot> = (0..MAX_PROBES).filter_map(|_| probe_limit.acquire()).collect();
+        assert!(running.len() == MAX_PROBES && probe_limit.acquire().is_none());
+        running.pop();
         assert!(probe_limit.acquire().is_some());
     }
 
@@ -196,11 +203,11 @@
     #[test_case(b"HTTP/1.1 200 OK\r\nottersail-member: 00000000000000a2\r\n\r\n", false; "another member")]
     #[test_case(b"HTTP/1.1 200 OK\r\n\r\n", false; "no member")]
     #[test_case(b"SSH-2.0", false; "something else")]
-    #[test_case(b"", false; "a process that stands still, whose system takes connections")]
-    fn up_is_who_answers(answer: &'static [u8], expected: bool) {
+    #[test_case(b"", false; "a paused process whose operating system accepts connections")]
+    fn a_probe_succeeds_only_if_the_answer_names_the_member(answer: &'static [u8], expected: bool) {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address =
-            HttpAddress::of(&listener.local_addr().unwrap().to_string(), at("127.0.0.1:1")).unwrap();
+            HttpAddress::of(&listener.local_addr().unwrap().to_string(), address_of("127.0.0.1:1")).unwrap();
         if !answer.is_empty() {
             let listener = listener.try_clone().unwrap();
             std::thread::spawn(move || listener.accept().unwrap().0.write_all(answer));
--- a/daemon/src/fleet/http_probe.rs
+++ b/daemon/src/fleet/http_probe.rs
@@ -9,26 +9,27 @@
     pub(super) fn dial(&self, to: Address, tag: DialId) {
         // If two members share an address, an answer there confirms neither of them.
         let id = self.addresses.borrow().id(to);
-        let (Some(id), Some(held)) = (id, self.probe_limit.acquire()) else {
-            return self.dialled(tag, false);
+        let (Some(id), Some(probe_slot)) = (id, self.probe_limit.acquire()) else {
+            return self.report_probe(tag, false);
         };
-        let told = self.http_addresses.borrow().of(id, self.members.borrow().others());
+        let announced = self.http_addresses.borrow().of(id, self.members.borrow().others());
         // A member that has not announced its HTTP address may have it at the same address.
-        let address = told.unwrap_or(HttpAddress::at(to));
-        let Some(fleet) = self.me.upgrade() else {
+        let address = announced.unwrap_or(HttpAddress::at(to));
+        let Some(fleet) = self.weak_self.upgrade() else {
             return;
         };
         let period = self.period;
         let task = async move {
             let up = probe(address, id, period).await;
-            drop(held);
-            fleet.dialled(tag, up);
+            drop(probe_slot);
+            fleet.report_probe(tag, up);
         };
         self.exec.spawn(task).detach();
     }
 
-    fn dialled(&self, tag: DialId, up: bool) {
+    /// Passes a probe's result to the membership.
+    fn report_probe(&self, tag: DialId, up: bool) {
         let now = self.now();
-        self.with_members(None, |it, out| it.handle_dial_result(now, tag, up, out));
+        self.with_members(None, |members, out| members.handle_dial_result(now, tag, up, out));
     }
 }
--- a/daemon/src/fleet/log.rs
+++ b/daemon/src/fleet/log.rs
@@ -3,8 +3,9 @@
 use ottersail_membership::{Change, Reachability, State, StateChangeReason};
 use tracing::{info, warn};
 
-pub(super) fn state(it: State) -> &'static str {
-    match it {
+/// The name of a state in the log and the metrics.
+pub(super) fn state(state: State) -> &'static str {
+    match state {
         State::Alive => "alive",
         State::Suspect => "suspect",
         State::Dead => "dead",
@@ -12,8 +13,9 @@
     }
 }
 
-pub(super) fn hearing(it: Reachability) -> &'static str {
-    match it {
+/// The name of a reachability in the log and the metrics.
+pub(super) fn hearing(reachability: Reachability) -> &'static str {
+    match reachability {
         Reachability::Mutual => "both",
         Reachability::InboundOnly => "only-i-hear",
         Reachability::OutboundOnly => "only-heard",
@@ -22,8 +24,8 @@
     }
 }
 
-fn cause(it: StateChangeReason) -> &'static str {
-    match it {
+fn cause(reason: StateChangeReason) -> &'static str {
+    match reason {
         StateChangeReason::Joined => "joined",
         StateChangeReason::Refuted => "refuted",
         StateChangeReason::ProbeFailed => "unanswered",
@@ -32,6 +34,7 @@
     }
 }
 
+/// Logs one change of the membership.
 pub(super) fn write(change: &Change) {
     match change {
         Change::State { id, name, was, is, why } => {
--- a/daemon/src/fleet/metrics.rs
+++ b/daemon/src/fleet/metrics.rs
@@ -9,10 +9,10 @@
 use prometheus_client::registry::Registry;
 use std::cell::Cell;
 
-type Of = Vec<(&'static str, String)>;
+type Labels = Vec<(&'static str, String)>;
 
 const STATES: [State; 4] = [State::Alive, State::Suspect, State::Dead, State::Left];
-const HEARINGS: [Reachability; 5] = [
+const REACHABILITIES: [Reachability; 5] = [
     Reachability::Mutual,
     Reachability::InboundOnly,
     Reachability::OutboundOnly,
@@ -23,39 +23,43 @@
 /// Traffic on the datagram socket.
 #[derive(Debug, Default)]
 pub(super) struct TrafficCounters {
+    /// Received, then sent.
     datagrams: [Cell<u64>; 2],
+    /// Received, then sent.
     bytes: [Cell<u64>; 2],
     /// Messages that could not be sealed.
     pub unsealed: Cell<u64>,
     /// Errors that the system returned instead of a datagram.
-    pub odd: Cell<u64>,
+    pub receive_errors: Cell<u64>,
 }
 
-fn more(of: &Cell<u64>, by: u64) {
-    of.set(of.get().wrapping_add(by));
+fn add(counter: &Cell<u64>, by: u64) {
+    counter.set(counter.get().wrapping_add(by));
 }
 
 impl TrafficCounters {
-    pub fn taken(&self, bytes: usize) {
-        self.went(0, bytes);
+    /// Counts a received datagram.
+    pub fn received(&self, bytes: usize) {
+        self.count_datagram(0, bytes);
     }
 
+    /// Counts a sent datagram.
     pub fn sent(&self, bytes: usize) {
-        self.went(1, bytes);
+        self.count_datagram(1, bytes);
     }
 
-    fn went(&self, way: usize, bytes: usize) {
-        more(&self.datagrams[way], 1);
-        more(&self.bytes[way], bytes as u64);
+    fn count_datagram(&self, direction: usize, bytes: usize) {
+        add(&self.datagrams[direction], 1);
+        add(&self.bytes[direction], bytes as u64);
     }
 }
 
-fn gauge(of: &Family<Of, Gauge>, labels: Of, value: u64) {
-    of.get_or_create(&labels).set(i64::try_from(value).unwrap_or(i64::MAX));
+fn gauge(family: &Family<Labels, Gauge>, labels: Labels, value: u64) {
+    family.get_or_create(&labels).set(i64::try_from(value).unwrap_or(i64::MAX));
 }
 
-fn count(of: &Family<Of, Counter>, labels: Of, value: u64) {
-    of.get_or_create(&labels).inc_by(value);
+fn count(family: &Family<Labels, Counter>, labels: Labels, value: u64) {
+    family.get_or_create(&labels).inc_by(value);
 }
 
 impl Fleet {
@@ -63,16 +67,20 @@
     pub fn register_metrics(&self, registry: &mut Registry) {
         self.register_council(registry);
         let members = self.members.borrow();
-        let (by_state, by_hearing, each): (Family<Of, Gauge>, Family<Of, Gauge>, Family<Of, Gauge>) =
-            Default::default();
+        let (by_state, by_hearing, each): (
+            Family<Labels, Gauge>,
+            Family<Labels, Gauge>,
+            Family<Labels, Gauge>,
+        ) = Default::default();
         for state in STATES {
-            let count = members.others().filter(|it| it.1.state == state).count() as u64;
+            let count = members.others().filter(|(_, known)| known.state == state).count() as u64;
             gauge(&by_state, vec![("state", log::state(state).into())], count);
         }
-        let up = || members.others().filter(|it| matches!(it.1.state, State::Alive | State::Suspect));
-        for hearing in HEARINGS {
-            let count = up().filter(|it| it.1.reachability == hearing).count() as u64;
-            gauge(&by_hearing, vec![("hearing", log::hearing(hearing).into())], count);
+        let up =
+            || members.others().filter(|(_, known)| matches!(known.state, State::Alive | State::Suspect));
+        for reachability in REACHABILITIES {
+            let count = up().filter(|(_, known)| known.reachability == reachability).count() as u64;
+            gauge(&by_hearing, vec![("hearing", log::hearing(reachability).into())], count);
         }
         for (_, known) in members.others() {
             let (state, hearing) = (log::state(known.state).into(), log::hearing(known.reachability).into());
@@ -88,17 +96,20 @@
         registry.register("members", "Other members known, by state", by_state);
         registry.register("members_heard", "Members not dead, by who hears whom", by_hearing);
         registry.register("member", "Each other member: what is believed of it", each);
-        let (datagrams, bytes, dropped): (Family<Of, Counter>, Family<Of, Counter>, Family<Of, Counter>) =
-            Default::default();
-        for (way, name) in ["in", "out"].into_iter().enumerate() {
-            count(&datagrams, vec![("way", name.into())], self.counters.datagrams[way].get());
-            count(&bytes, vec![("way", name.into())], self.counters.bytes[way].get());
+        let (datagrams, bytes, dropped): (
+            Family<Labels, Counter>,
+            Family<Labels, Counter>,
+            Family<Labels, Counter>,
+        ) = Default::default();
+        for (direction, name) in ["in", "out"].into_iter().enumerate() {
+            count(&datagrams, vec![("way", name.into())], self.counters.datagrams[direction].get());
+            count(&bytes, vec![("way", name.into())], self.counters.bytes[direction].get());
         }
-        let gate = self.gate.borrow();
-        for why in DropReason::ALL {
-            count(&dropped, vec![("kind", why.name().into())], gate.dropped(why));
+        let auth = self.auth.borrow();
+        for reason in DropReason::ALL {
+            count(&dropped, vec![("kind", reason.name().into())], auth.dropped(reason));
         }
-        count(&dropped, vec![("kind", "odd".into())], self.counters.odd.get());
+        count(&dropped, vec![("kind", "odd".into())], self.counters.receive_errors.get());
         count(&dropped, vec![("kind", "unsealed".into())], self.counters.unsealed.get());
         registry.register("member_datagrams", "Datagrams between members", datagrams);
         registry.register("member_bytes", "Bytes of datagrams between members", bytes);
