--- a/daemon/src/fleet/council.rs
+++ b/daemon/src/fleet/council.rs
@@ -1,7 +1,7 @@
-//! The council and the parts over the members: the machines of `ottersail-consensus` and `ottersail-leases` with
-//! their messages, time and disk. Each input is gone through until nothing follows from it; what is to be
-//! sent, kept and told comes out as [`Outs`]. Nothing is decided here but when a new slot may be used, in
-//! `share.rs`.
+//! The council and the slot leases over the members: connects the state machines of `ottersail-consensus` and
+//! `ottersail-leases` with messages, time and disk. Each input is processed until nothing more follows from it; messages,
+//! disk writes and the new part come out as [`Outputs`]. The only decision taken here is when a new slot may be used,
+//! in `part.rs`.
 
 mod inputs;
 #[cfg(test)]
@@ -23,7 +23,7 @@
 mod tasks;
 
 use crate::settings::manager::ManagerSettings;
-use messages::{CouncilMessage, Out, NEED, REVISIONS};
+use messages::{CouncilMessage, OutgoingMessage, NEED, REVISIONS};
 use metrics::CouncilMetrics;
 use ottersail::time::Ms;
 use ottersail_consensus as council;
@@ -41,19 +41,20 @@
 pub(super) use tasks::CouncilTasks;
 
 /// Interval at which demand and the roster are reviewed, as a fraction of the lease.
-const LOOK_INTERVAL: f64 = 0.05;
+const REVIEW_INTERVAL: f64 = 0.05;
 
 /// What the caller has to carry out, in this order.
 #[derive(Debug, Default)]
 pub(super) struct Outputs {
-    pub messages: Vec<Out>,
+    pub messages: Vec<OutgoingMessage>,
     pub writes: Vec<store_writer::WriteRequest>,
     pub part: Option<ottersail_front::SlotShare>,
     /// The placement is given a smaller part; [`Council::shrunk`] has to be called once it has it.
     pub shrunk: bool,
-    pub riders: Vec<(Topic, Vec<u8>)>,
+    pub piggybacks: Vec<(Topic, Vec<u8>)>,
 }
 
+/// This member's council: its state machines and what connects them.
 pub(super) struct Council {
     me: (MemberId, InstanceId),
     names: BTreeMap<MemberId, String>,
@@ -68,9 +69,9 @@
     leases: Option<LeaseState>,
     part: PartInUse,
     /// Own requests under way, with the time of the request.
-    asked: BTreeMap<u64, (requests::Request, Ms)>,
-    number: u64,
-    look_at: Ms,
+    pending_requests: BTreeMap<u64, (requests::Request, Ms)>,
+    last_request_number: u64,
+    next_review: Ms,
     arrivals: Cell<u32>,
     /// The members believed alive.
     alive: BTreeMap<MemberId, InstanceId>,
@@ -88,33 +89,37 @@
 }
 
 impl Council {
-    /// `None` without `[council]`; with it, a keeper if this is a councillor whose store can be read.
+    /// `None` without `[council]`; with it, a store writer if this is a councillor whose store can be read.
     pub fn born(
         now: Ms,
         seed: u64,
-        life: InstanceId,
+        instance: InstanceId,
         manager: &ManagerSettings,
     ) -> Option<(Council, Option<StoreWriter>)> {
-        let (members, told) = (manager.members.as_ref()?, manager.council.as_ref()?);
+        let (members, settings) = (manager.members.as_ref()?, manager.council.as_ref()?);
         let id = |name: &String| MemberId::of(&members.cluster, name);
-        let me = (id(&members.name), life);
-        let councillors: Vec<MemberId> = told.councillors.iter().map(id).collect();
-        let mut terms = CouncilConfig::new(me.0, life, &councillors, seed);
+        let me = (id(&members.name), instance);
+        let councillors: Vec<MemberId> = settings.councillors.iter().map(id).collect();
+        let mut terms = CouncilConfig::new(me.0, instance, &councillors, seed);
         // A holder waits half a lease for an answer and then asks again.
-        terms.request_timeout = terms.request_timeout.min(Ms(f64::from(told.lease_ms) * 0.5));
-        let opened = told.store.as_ref().and_then(|path| store_writer::open(path));
+        terms.request_timeout = terms.request_timeout.min(Ms(f64::from(settings.lease_ms) * 0.5));
+        let opened = settings.store.as_ref().and_then(|path| store_writer::open(path));
         let (seat, store_writer) = Seat::born(now, &terms, opened);
-        let own = FoundingConfig { slots: told.slots, lease_ms: told.lease_ms, drift_ppm: told.drift_ppm };
+        let own = FoundingConfig {
+            slots: settings.slots,
+            lease_ms: settings.lease_ms,
+            drift_ppm: settings.drift_ppm,
+        };
         let cold = manager.terms.cold.send_window();
         let number = (manager.terms.manager.0, manager.terms.manager_count);
-        log::begins(&told.councillors, &seat);
-        let born = |it: &crate::settings::releases::Releases| {
-            Releases::born(now, me, it.version.clone(), (&terms.councillors, members.period))
+        log::begins(&settings.councillors, &seat);
+        let born = |releases: &crate::settings::releases::Releases| {
+            Releases::born(now, me, releases.version.clone(), (&terms.councillors, members.period))
         };
         let releases = manager.releases.as_ref().map(born);
         let council = Council {
             me,
-            names: told.councillors.iter().map(|it| (id(it), it.clone())).collect(),
+            names: settings.councillors.iter().map(|name| (id(name), name.clone())).collect(),
             own,
             seed,
             terms,
@@ -122,10 +127,10 @@
             home: (members.name.clone(), manager.terms.zone.to_string()),
             releases,
             leases: None,
-            part: PartInUse::new(number, told.slots, cold),
-            asked: BTreeMap::new(),
-            number: 0,
-            look_at: now,
+            part: PartInUse::new(number, settings.slots, cold),
+            pending_requests: BTreeMap::new(),
+            last_request_number: 0,
+            next_review: now,
             arrivals: Cell::new(0),
             alive: BTreeMap::new(),
             lease_counters: Counters::default(),
@@ -139,10 +144,11 @@
         self.arrivals.set(self.arrivals.get().saturating_add(1));
     }
 
+    /// When [`Council::on_timer`] or [`Council::roster`] has to be called next.
     pub fn next_timer(&self) -> Ms {
-        let holder = self.leases.as_ref().map_or(Ms(f64::INFINITY), |it| it.holder.next_deadline());
+        let holder = self.leases.as_ref().map_or(Ms(f64::INFINITY), |leases| leases.holder.next_deadline());
         let releases = self.releases.as_ref().map_or(Ms(f64::INFINITY), Releases::next_timer);
-        self.look_at.min(self.seat.next_timer()).min(holder).min(self.part.next_timer()).min(releases)
+        self.next_review.min(self.seat.next_timer()).min(holder).min(self.part.next_timer()).min(releases)
     }
 
     /// Handles the roster and the data that members piggyback.
@@ -152,11 +158,11 @@
         all: impl Iterator<Item = (&'a MemberId, &'a MemberView)>,
         out: &mut Outputs,
     ) {
-        if now < self.look_at {
+        if now < self.next_review {
             return;
         }
-        self.look_at = now + Ms(f64::from(self.own.lease_ms)) * LOOK_INTERVAL;
-        let up = |it: &(&MemberId, &MemberView)| matches!(it.1.state, State::Alive | State::Suspect);
+        self.next_review = now + Ms(f64::from(self.own.lease_ms)) * REVIEW_INTERVAL;
+        let up = |(_, known): &(&MemberId, &MemberView)| matches!(known.state, State::Alive | State::Suspect);
         let living: Vec<_> = all.filter(up).collect();
         self.alive = living.iter().map(|(id, known)| (**id, known.instance)).collect();
         let set = self.alive.keys().copied().chain([self.me.0]).collect();
@@ -172,39 +178,40 @@
             held.needs.set_others(living.iter().map(|(id, known)| (**id, rider(known))).collect());
             held.needs.record_arrivals(now, self.arrivals.take());
             held.holder.set_alive(self.alive.clone());
-            let wanted = held.needs.next_target(now, held.holder.retained_slots());
-            held.holder.set_target(now, wanted, &mut work);
+            let target = held.needs.next_target(now, held.holder.retained_slots());
+            held.holder.set_target(now, target, &mut work);
             if let Ok(bytes) = held.needs.demand(now, held.holder.retained_slots()).encode() {
-                out.riders.push((NEED, bytes));
+                out.piggybacks.push((NEED, bytes));
             }
-        } else if self.asked.is_empty() {
-            self.ask(now, requests::Request::FoundingConfig, council::Change::Read, &mut work);
+        } else if self.pending_requests.is_empty() {
+            self.submit_request(now, requests::Request::FoundingConfig, council::Change::Read, &mut work);
         }
         self.release(now, living.iter().copied(), &mut work);
-        out.riders.push((REVISIONS, self.seat.follower().revision_digest()));
+        out.piggybacks.push((REVISIONS, self.seat.follower().revision_digest()));
         self.process(now, work, out);
     }
 
+    /// Handles the expiry of a timer.
     pub fn on_timer(&mut self, now: Ms, out: &mut Outputs) {
         self.process(now, PendingWork::of(Input::Timer), out);
     }
 
     /// Handles a message of another member.
-    pub fn heard(&mut self, now: Ms, from: MemberId, topic: Topic, bytes: &[u8], out: &mut Outputs) {
+    pub fn on_message(&mut self, now: Ms, from: MemberId, topic: Topic, bytes: &[u8], out: &mut Outputs) {
         match CouncilMessage::read(topic, bytes) {
-            Some(post) => self.process(now, PendingWork::of(Input::Heard(from, post)), out),
+            Some(message) => self.process(now, PendingWork::of(Input::Received(from, message)), out),
             None => self.council_metrics.unread(),
         }
     }
 
     /// Records have been written to disk.
-    pub fn kept(&mut self, now: Ms, done: store_writer::Written, out: &mut Outputs) {
-        self.council_metrics.kept(done.took);
-        self.process(now, PendingWork::of(Input::Kept(done.token)), out);
+    pub fn on_persisted(&mut self, now: Ms, done: store_writer::Written, out: &mut Outputs) {
+        self.council_metrics.persisted(done.took);
+        self.process(now, PendingWork::of(Input::Persisted(done.token)), out);
     }
 
     /// The store failed: this councillor abstains from here on and only follows.
-    pub fn lost_store(&mut self, now: Ms) {
+    pub fn on_store_lost(&mut self, now: Ms) {
         self.seat.abstain(now, &self.terms);
     }
 
@@ -228,7 +235,7 @@
     }
 
     /// Whether no register assigns a slot to this member, as far as is known here.
-    pub fn gave_all_back(&self) -> bool {
-        self.leases.as_ref().is_none_or(|it| it.holder.has_released_all())
+    pub fn has_returned_all_slots(&self) -> bool {
+        self.leases.as_ref().is_none_or(|leases| leases.holder.has_released_all())
     }
 }
--- a/daemon/src/fleet/council/log.rs
+++ b/daemon/src/fleet/council/log.rs
@@ -7,8 +7,8 @@
 use ottersail_rollout::{Event, Order, OrderNotPut, Refusal, State};
 use tracing::{error, info, warn};
 
-pub(super) fn key(it: Key) -> String {
-    match it {
+pub(super) fn key(key: Key) -> String {
+    match key {
         Key::Founding => "head".into(),
         Key::Slots(no) => format!("slots-{no}"),
         Key::Order(no) => format!("order-{no}"),
@@ -20,8 +20,8 @@
     info!(target: "council", kind, councillors = councillors.join(", "), "council");
 }
 
-pub(super) fn sound(it: bool) {
-    if it {
+pub(super) fn participation(participates: bool) {
+    if participates {
         info!(target: "council", "this councillor takes part");
     } else {
         warn!(
@@ -31,8 +31,8 @@
     }
 }
 
-pub(super) fn chosen(it: Key, value: &Value) {
-    info!(target: "council", key = key(it), revision = value.revision, bytes = value.body.len(), "chosen");
+pub(super) fn chosen(register: Key, value: &Value) {
+    info!(target: "council", key = key(register), revision = value.revision, bytes = value.body.len(), "chosen");
 }
 
 pub(super) fn unknown_head(bytes: usize) {
@@ -58,9 +58,9 @@
     error!(target: "parts", %trouble, "a register cannot be decoded");
 }
 
-pub(super) fn unread(it: Key) {
+pub(super) fn unread(register: Key) {
     error!(
-        target: "releases", key = key(it),
+        target: "releases", key = key(register),
         "the register has an unknown version; update this program to the version of the others"
     );
 }
@@ -106,15 +106,15 @@
     warn!(target: "releases", %why, "the order of the file");
 }
 
-pub(super) fn kept_out(it: Key, refusal: &Refusal) {
-    info!(target: "releases", key = key(it), %refusal, "value refused for the register");
+pub(super) fn kept_out(register: Key, refusal: &Refusal) {
+    info!(target: "releases", key = key(register), %refusal, "value refused for the register");
 }
 
-pub(super) fn note(it: &Event) {
-    match it {
+pub(super) fn note(event: &Event) {
+    match event {
         Event::PermitOverdue { .. } | Event::OtherVersion { .. } | Event::HaltedByEvidence { .. } => {
-            warn!(target: "releases", "{it}");
+            warn!(target: "releases", "{event}");
         }
-        _ => info!(target: "releases", "{it}"),
+        _ => info!(target: "releases", "{event}"),
     }
 }
--- a/daemon/src/fleet/council/outputs.rs
+++ b/daemon/src/fleet/council/outputs.rs
@@ -12,24 +12,27 @@
 #[derive(Clone, Debug)]
 pub(super) enum Input {
     Timer,
-    Heard(MemberId, CouncilMessage),
-    Kept(Token),
+    Received(MemberId, CouncilMessage),
+    /// Records are on disk.
+    Persisted(Token),
     Chosen(Key, Value),
     Answered(u64, Outcome),
     Read(BucketId),
     Propose(BucketId, u64, Vec<u8>),
-    Put(Key, u64, Vec<u8>),
+    /// Proposes a value for a register of releases.
+    ProposeRelease(Key, u64, Vec<u8>),
 }
 
+/// Outputs that are still to be processed.
 #[derive(Debug, Default)]
 pub(super) struct PendingWork {
-    pub posts: Vec<(MemberId, CouncilMessage)>,
+    pub messages: Vec<(MemberId, CouncilMessage)>,
     pub writes: Vec<WriteRequest>,
     pub inputs: Vec<Input>,
-    pub notes: Vec<LeaseEvent>,
-    /// To every councillor.
-    pub stands: Vec<MemberStatus>,
-    pub told: Vec<Event>,
+    pub lease_events: Vec<LeaseEvent>,
+    /// Statuses of this member, to be sent to every councillor.
+    pub statuses: Vec<MemberStatus>,
+    pub release_events: Vec<Event>,
     pub shrunk: bool,
 }
 
@@ -41,7 +44,7 @@
 
 impl ottersail_consensus::Effects for PendingWork {
     fn send(&mut self, to: MemberId, message: &Message) {
-        self.posts.push((to, CouncilMessage::Council(message.clone())));
+        self.messages.push((to, CouncilMessage::Council(message.clone())));
     }
 
     fn persist(&mut self, token: Token, records: &[Record]) {
@@ -59,11 +62,11 @@
 
 impl ottersail_leases::Effects for PendingWork {
     fn renew(&mut self, to: MemberId, message: &Renew) {
-        self.posts.push((to, CouncilMessage::Renew(message.clone())));
+        self.messages.push((to, CouncilMessage::Renew(message.clone())));
     }
 
     fn release(&mut self, to: MemberId, message: &Release) {
-        self.posts.push((to, CouncilMessage::Release(message.clone())));
+        self.messages.push((to, CouncilMessage::Release(message.clone())));
     }
 
     fn read(&mut self, bucket: BucketId) {
@@ -79,25 +82,25 @@
         self.shrunk = true;
     }
 
-    fn note(&mut self, note: LeaseEvent) {
-        self.notes.push(note);
+    fn note(&mut self, event: LeaseEvent) {
+        self.lease_events.push(event);
     }
 }
 
 impl ottersail_rollout::Effects for PendingWork {
     fn propose(&mut self, if_revision: u64, permits: &PermitTable) {
-        self.inputs.push(Input::Put(PERMITS, if_revision, permits.encode()));
+        self.inputs.push(Input::ProposeRelease(PERMITS, if_revision, permits.encode()));
     }
 
     fn halt(&mut self, if_revision: u64, order: &Order) {
-        self.inputs.push(Input::Put(ORDER, if_revision, order.encode()));
+        self.inputs.push(Input::ProposeRelease(ORDER, if_revision, order.encode()));
     }
 
-    fn send_status(&mut self, stand: &MemberStatus) {
-        self.stands.push(stand.clone());
+    fn send_status(&mut self, status: &MemberStatus) {
+        self.statuses.push(status.clone());
     }
 
     fn report(&mut self, event: Event) {
-        self.told.push(event);
+        self.release_events.push(event);
     }
 }
--- a/daemon/src/fleet/council/process.rs
+++ b/daemon/src/fleet/council/process.rs
@@ -1,6 +1,6 @@
 //! Processes one input and everything that follows from it, and collects what the caller has to carry out.
 
-use super::messages::{CouncilMessage, Out};
+use super::messages::{CouncilMessage, OutgoingMessage};
 use super::outputs::{Input, PendingWork};
 use super::{log, Council, Outputs};
 use ottersail::time::Ms;
@@ -21,30 +21,30 @@
             let Some(input) = queue.pop_front() else { break };
             self.step(now, input, &mut work);
         }
-        if let Some(it) = self.seat.turned() {
-            log::sound(it);
-            if let (true, Some(held)) = (it, &mut self.leases) {
+        if let Some(participates) = self.seat.participation_change() {
+            log::participation(participates);
+            if let (true, Some(held)) = (participates, &mut self.leases) {
                 held.renewals.restart_quiet_period(now);
             }
         }
-        let holder = self.leases.as_ref().map(|it| &it.holder);
-        out.part = self.part.look(now, holder, out.shrunk).or(out.part.take());
+        let holder = self.leases.as_ref().map(|leases| &leases.holder);
+        out.part = self.part.update(now, holder, out.shrunk).or(out.part.take());
     }
 
     /// Queues messages to this member as inputs and passes the others out.
     fn sort(&mut self, work: PendingWork, queue: &mut VecDeque<Input>, out: &mut Outputs) {
-        let mut posts = work.posts;
-        work.notes.into_iter().for_each(|it| self.lease_counters.count(it));
-        work.told.iter().for_each(log::note);
-        for stand in work.stands {
-            let post = |to: &MemberId| (*to, CouncilMessage::Stand(self.me.1, stand.clone()));
-            posts.extend(self.terms.councillors.iter().map(post));
+        let mut messages = work.messages;
+        work.lease_events.into_iter().for_each(|event| self.lease_counters.count(event));
+        work.release_events.iter().for_each(log::note);
+        for status in work.statuses {
+            let message = |to: &MemberId| (*to, CouncilMessage::Status(self.me.1, status.clone()));
+            messages.extend(self.terms.councillors.iter().map(message));
         }
-        for (to, post) in posts {
+        for (to, message) in messages {
             if to == self.me.0 {
-                queue.push_back(Input::Heard(to, post));
-            } else if let Some(bytes) = post.bytes() {
-                out.messages.push(Out { to, topic: post.topic(), bytes });
+                queue.push_back(Input::Received(to, message));
+            } else if let Some(bytes) = message.bytes() {
+                out.messages.push(OutgoingMessage { to, topic: message.topic(), bytes });
             }
         }
         out.writes.extend(work.writes);
--- a/daemon/src/fleet/council/release_metrics.rs
+++ b/daemon/src/fleet/council/release_metrics.rs
@@ -8,12 +8,14 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-type Of = Vec<(&'static str, String)>;
+type Labels = Vec<(&'static str, String)>;
 
 impl Releases {
     /// Registers nothing without an order or at a member that is no councillor.
     pub fn register(&self, now: Ms, registry: &mut Registry) {
-        let Some(view) = self.coordinator.as_ref().and_then(|it| it.view(now)) else { return };
+        let Some(view) = self.coordinator.as_ref().and_then(|coordinator| coordinator.view(now)) else {
+            return;
+        };
         let ReleaseView {
             serial, state, step, steps, done, targeted, ready, fleet, outstanding, ended, ..
         } = view;
@@ -35,15 +37,15 @@
             ("release_ended", "1 once nobody has anything to do any more", u64::from(ended)),
         ];
         all.into_iter().for_each(|(name, help, value)| gauge(registry, name, help, value));
-        let permits: Family<Of, Gauge> = Family::default();
-        for it in outstanding {
-            let waits = match it.reason {
+        let permits: Family<Labels, Gauge> = Family::default();
+        for permit in outstanding {
+            let waits = match permit.reason {
                 WaitReason::NotLeft => "to go",
                 WaitReason::Away => "to come back",
                 WaitReason::Settling => "to be whole",
             };
-            let of = vec![("name", it.name.to_string()), ("waits", waits.to_string())];
-            permits.get_or_create(&of).set(((now - it.since).0 / 1e3) as i64);
+            let labels = vec![("name", permit.name.to_string()), ("waits", waits.to_string())];
+            permits.get_or_create(&labels).set(((now - permit.since).0 / 1e3) as i64);
         }
         registry.register("release_permit_seconds", "Permits out, and since how long", permits);
     }
--- a/daemon/src/fleet/council/releases.rs
+++ b/daemon/src/fleet/council/releases.rs
@@ -48,8 +48,8 @@
 
     pub fn on_timer(&mut self, now: Ms, work: &mut PendingWork) {
         self.holder.on_timer(now, work);
-        if let Some(it) = &mut self.coordinator {
-            it.on_timer(now, work);
+        if let Some(coordinator) = &mut self.coordinator {
+            coordinator.on_timer(now, work);
         }
     }
 
@@ -75,7 +75,7 @@
                 presence: state,
             })
         };
-        let mut living: BTreeMap<_, _> = all.filter_map(|it| Some((*it.0, seen(it.1)?))).collect();
+        let mut living: BTreeMap<_, _> = all.filter_map(|(id, known)| Some((*id, seen(known)?))).collect();
         living.insert(me.0, me.1);
         coordinator.set_roster(now, &living);
         coordinator.set_active(now, active);
@@ -85,63 +85,63 @@
 impl Council {
     /// Handles a newer value of a register of releases.
     pub(super) fn ordered(&mut self, now: Ms, key: Key, value: &Value, work: &mut PendingWork) {
-        let Some(it) = &mut self.releases else { return };
+        let Some(releases) = &mut self.releases else { return };
         match key {
             ORDER => {
                 let Some(order) = Order::decode(&value.body) else { return log::unread(key) };
-                if it.order.as_ref().is_some_and(|it| it.0 >= value.revision) {
+                if releases.order.as_ref().is_some_and(|(revision, _)| *revision >= value.revision) {
                     return;
                 }
                 log::ordered(value.revision, &order);
-                it.holder.on_order(now, value.revision, &order);
-                if let Some(coordinator) = &mut it.coordinator {
+                releases.holder.on_order(now, value.revision, &order);
+                if let Some(coordinator) = &mut releases.coordinator {
                     coordinator.on_order(now, value.revision, &order);
                 }
-                it.order = Some((value.revision, order));
+                releases.order = Some((value.revision, order));
             }
             PERMITS => {
-                let Some(book) = PermitTable::decode(&value.body) else { return log::unread(key) };
-                it.holder.on_permits(now, value.revision, &book);
-                let Some(coordinator) = &mut it.coordinator else { return };
-                coordinator.on_permits(now, value.revision, &book);
+                let Some(table) = PermitTable::decode(&value.body) else { return log::unread(key) };
+                releases.holder.on_permits(now, value.revision, &table);
+                let Some(coordinator) = &mut releases.coordinator else { return };
+                coordinator.on_permits(now, value.revision, &table);
                 // Permits expire, so each holder is told directly and does not wait for gossip.
-                for permit in book.permits.iter().filter(|it| it.member != self.me.0) {
+                for permit in table.permits.iter().filter(|permit| permit.member != self.me.0) {
                     let learned = Message::Learned { key, value: value.clone() };
-                    work.posts.push((permit.member, CouncilMessage::Council(learned)));
+                    work.messages.push((permit.member, CouncilMessage::Council(learned)));
                 }
             }
             _ => {}
         }
     }
 
-    pub(super) fn stood(&mut self, now: Ms, from: MemberId, life: InstanceId, stand: &MemberStatus) {
-        if let Some(it) = self.releases.as_mut().and_then(|it| it.coordinator.as_mut()) {
-            it.on_status(now, from, life, stand);
+    pub(super) fn on_status(&mut self, now: Ms, from: MemberId, instance: InstanceId, status: &MemberStatus) {
+        if let Some(coordinator) = self.releases.as_mut().and_then(|releases| releases.coordinator.as_mut()) {
+            coordinator.on_status(now, from, instance, status);
         }
     }
 
     /// Handles the outcome of a change of a register of releases.
     pub(super) fn put(&mut self, now: Ms, key: Key, outcome: &Outcome, work: &mut PendingWork) {
-        let stands = match outcome {
-            Outcome::Chosen(it) | Outcome::Current(Some(it)) => Some(it),
+        let current = match outcome {
+            Outcome::Chosen(value) | Outcome::Current(Some(value)) => Some(value),
             _ => None,
         };
         if let (PERMITS, Some(coordinator)) =
-            (key, self.releases.as_mut().and_then(|it| it.coordinator.as_mut()))
+            (key, self.releases.as_mut().and_then(|releases| releases.coordinator.as_mut()))
         {
-            let read = stands.and_then(|it| Some((it.revision, PermitTable::decode(&it.body)?)));
+            let read = current.and_then(|value| Some((value.revision, PermitTable::decode(&value.body)?)));
             coordinator.on_answer(
                 now,
                 match (outcome, read) {
-                    (Outcome::Chosen(it), _) => Proposed::Chosen { revision: it.revision },
-                    (Outcome::Current(_), Some((revision, book))) => {
-                        Proposed::Superseded { revision, permits: book }
+                    (Outcome::Chosen(value), _) => Proposed::Chosen { revision: value.revision },
+                    (Outcome::Current(_), Some((revision, permits))) => {
+                        Proposed::Superseded { revision, permits }
                     }
                     _ => Proposed::Unknown,
                 },
             );
         }
-        if let Some(value) = stands {
+        if let Some(value) = current {
             self.ordered(now, key, value, work);
         }
         if key == ORDER {
@@ -151,18 +151,24 @@
 
     /// Logs once what became of the order of this manager's own file.
     fn file_answered(&mut self, outcome: &Outcome) {
-        let Some(it) = &mut self.releases else { return };
-        let Some((asked, file)) = &it.file else { return };
+        let Some(releases) = &mut self.releases else { return };
+        let Some((if_revision, file)) = &releases.file else { return };
         if !matches!(outcome, Outcome::Chosen(_) | Outcome::Current(_)) {
             // Without a majority, or refused by guards: it is put again at the next review.
             return;
         }
-        match evaluate_answer(*asked, it.order.as_ref().map(|it| (it.0, &it.1)), file) {
+        match evaluate_answer(
+            *if_revision,
+            releases.order.as_ref().map(|(revision, order)| (*revision, order)),
+            file,
+        ) {
             ProposalResult::InForce => log::file_stands(file),
-            ProposalResult::Retry { if_revision } => return it.file = Some((if_revision, file.clone())),
+            ProposalResult::Retry { if_revision } => {
+                return releases.file = Some((if_revision, file.clone()))
+            }
             ProposalResult::Reject(why) => log::file_held(&why),
         }
-        it.file = None;
+        releases.file = None;
     }
 
     /// Reviews releases: the roster, and the order of the own file if it waits.
@@ -174,61 +180,61 @@
     ) {
         let active = self.seat.follower().preferred() == Some(self.me.0)
             && self.seat.participating_councillor().is_some();
-        if let (Some(seat), Some(it)) = (
+        if let (Some(seat), Some(coordinator)) = (
             self.seat.participating_councillor(),
-            self.releases.as_mut().and_then(|it| it.coordinator.as_mut()),
+            self.releases.as_mut().and_then(|releases| releases.coordinator.as_mut()),
         ) {
             let held = seat.acceptor().stored().accepted(PERMITS);
-            if let Some((revision, book)) =
-                held.and_then(|it| Some((it.revision, PermitTable::decode(&it.body)?)))
+            if let Some((revision, permits)) =
+                held.and_then(|value| Some((value.revision, PermitTable::decode(&value.body)?)))
             {
-                it.on_accepted(now, revision, &book);
+                coordinator.on_accepted(now, revision, &permits);
             }
         }
-        let asked = self.asked.values().any(|it| it.0 == Request::Order(ORDER));
+        let asked = self.pending_requests.values().any(|(request, _)| *request == Request::Order(ORDER));
         let (name, zone) = &self.home;
-        let (Some(it), Some(name)) = (&mut self.releases, Name::new(name)) else { return };
+        let (Some(releases), Some(name)) = (&mut self.releases, Name::new(name)) else { return };
         let me = RosterEntry { life: self.me.1, name, zone: Name::new(zone), presence: Presence::Alive };
-        it.roster(now, (self.me.0, me), all, active);
-        let Some((_, file)) = it.file.clone().filter(|_| !asked) else { return };
-        match evaluate_file(it.order.as_ref().map(|it| (it.0, &it.1)), &file) {
+        releases.roster(now, (self.me.0, me), all, active);
+        let Some((_, file)) = releases.file.clone().filter(|_| !asked) else { return };
+        match evaluate_file(releases.order.as_ref().map(|(revision, order)| (*revision, order)), &file) {
             FileDecision::Put { if_revision, lifts_halt } => {
                 if lifts_halt {
                     log::file_lifts(&file);
                 }
                 let change = set(if_revision, file.encode());
-                it.file = Some((if_revision, file));
-                return self.ask(now, Request::Order(ORDER), change, work);
+                releases.file = Some((if_revision, file));
+                return self.submit_request(now, Request::Order(ORDER), change, work);
             }
             FileDecision::Unchanged { halted } => log::file_same(&file, halted),
             FileDecision::Reject(why) => log::file_held(&why),
         }
-        it.file = None;
+        releases.file = None;
     }
 
     /// Updates whether this manager is ready, and how its viewings ended.
-    pub fn stands(&mut self, now: Ms, whole: bool, counts: ViewingCounts) {
-        if let Some(it) = &mut self.releases {
-            it.holder.set_ready(now, whole);
-            it.holder.set_counts(now, counts);
+    pub fn set_status(&mut self, now: Ms, ready: bool, counts: ViewingCounts) {
+        if let Some(releases) = &mut self.releases {
+            releases.holder.set_ready(now, ready);
+            releases.holder.set_counts(now, counts);
         }
     }
 
     /// The permit that can be used now.
-    pub fn wants_out(&self, now: Ms) -> Option<UsablePermit> {
+    pub fn usable_permit(&self, now: Ms) -> Option<UsablePermit> {
         self.releases.as_ref()?.holder.usable_permit(now)
     }
 
     /// Confirms the permit once no viewings are taken any more.
-    pub fn still_in_time(&mut self, now: Ms, going: &UsablePermit) -> bool {
-        self.releases.as_mut().is_some_and(|it| it.holder.confirm_leaving(now, going))
+    pub fn confirm_permit(&mut self, now: Ms, going: &UsablePermit) -> bool {
+        self.releases.as_mut().is_some_and(|releases| releases.holder.confirm_leaving(now, going))
     }
 
     /// Submits the order of this manager's own file.
-    pub fn order(&mut self, file: Order) {
-        if let Some(it) = &mut self.releases {
-            it.file = Some((0, file));
-            self.look_at = Ms(0.0);
+    pub fn submit_order(&mut self, file: Order) {
+        if let Some(releases) = &mut self.releases {
+            releases.file = Some((0, file));
+            self.next_review = Ms(0.0);
         }
     }
 }
--- a/daemon/src/fleet/council/requests.rs
+++ b/daemon/src/fleet/council/requests.rs
@@ -1,4 +1,4 @@
-//! What is asked of the council, and what its `Head` holds.
+//! This member's requests to the council, and the configuration in its founding register.
 
 use ottersail_consensus::{Change, Key, MemberId, Outcome, Value};
 use ottersail_leases::{Answer, BucketId, LeaseConfig};
@@ -15,6 +15,7 @@
 }
 
 impl FoundingConfig {
+    /// The stored form: a version byte, then the fields.
     pub fn bytes(self) -> Vec<u8> {
         let rest = postcard::to_allocvec(&self).unwrap_or_default();
         std::iter::once(VERSION).chain(rest).collect()
@@ -23,9 +24,10 @@
     /// `None` if the bytes are of an unknown version or truncated.
     pub fn read(bytes: &[u8]) -> Option<FoundingConfig> {
         let (&VERSION, rest) = bytes.split_first()? else { return None };
-        postcard::take_from_bytes(rest).ok().map(|it| it.0)
+        postcard::take_from_bytes(rest).ok().map(|(config, _)| config)
     }
 
+    /// The lease configuration that follows from it.
     pub fn terms(self, councillors: &[MemberId]) -> LeaseConfig {
         LeaseConfig {
             slots: self.slots,
@@ -37,7 +39,7 @@
     }
 }
 
-/// The subject of an own request.
+/// The subject of a request by this member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Request {
     FoundingConfig,
@@ -48,6 +50,7 @@
 }
 
 impl Request {
+    /// The register that the request is about.
     pub fn key(self) -> Key {
         match self {
             Request::FoundingConfig => Key::Founding,
@@ -58,7 +61,8 @@
 
     /// The outcome as an answer for the lease holder.
     pub fn answer(self, outcome: Outcome) -> Answer {
-        let parts = |it: Option<Value>| it.map_or((0, Vec::new()), |it| (it.revision, it.body));
+        let parts =
+            |value: Option<Value>| value.map_or((0, Vec::new()), |value| (value.revision, value.body));
         match outcome {
             Outcome::Chosen(value) => Answer::Chosen { revision: value.revision, body: value.body },
             Outcome::Current(value) => {
@@ -73,6 +77,7 @@
     }
 }
 
+/// A change that sets the register's body if its revision is still `if_revision`.
 pub(super) fn set(if_revision: u64, body: Vec<u8>) -> Change {
     Change::Set { if_revision, body }
 }
@@ -84,18 +89,18 @@
     const HEAD: FoundingConfig = FoundingConfig { slots: 64, lease_ms: 10_000, drift_ppm: 1_000 };
 
     #[test]
-    fn a_head_is_read_again_and_another_version_is_not() {
+    fn a_founding_configuration_is_decoded_unless_its_version_is_unknown() {
         let mut bytes = HEAD.bytes();
         assert_eq!(FoundingConfig::read(&bytes), Some(HEAD));
         bytes.push(9);
-        assert_eq!(FoundingConfig::read(&bytes), Some(HEAD), "a later field is let be");
+        assert_eq!(FoundingConfig::read(&bytes), Some(HEAD), "a field of a later version is ignored");
         assert_eq!(FoundingConfig::read(&bytes[..3]), None);
         bytes[0] = 2;
         assert_eq!(FoundingConfig::read(&bytes), None);
     }
 
     #[test]
-    fn what_stands_is_an_answer_to_a_reading_and_against_a_change() {
+    fn a_current_value_answers_a_read_and_conflicts_with_a_change() {
         let value = Value { revision: 4, body: vec![1], ..absent() };
         let no = BucketId(1);
         let stands = || Outcome::Current(Some(value.clone()));
--- a/daemon/src/fleet/council/role.rs
+++ b/daemon/src/fleet/council/role.rs
@@ -9,10 +9,11 @@
 use ottersail_register::Store;
 use std::collections::BTreeSet;
 
+/// Runs as a councillor or as a follower, with one interface for both.
 pub(super) struct Seat {
     kind: Kind,
     /// The participation that was reported last.
-    told: Option<bool>,
+    reported: Option<bool>,
 }
 
 enum Kind {
@@ -40,35 +41,35 @@
                 }
             },
         };
-        (Seat { kind, told: None }, store_writer)
+        (Seat { kind, reported: None }, store_writer)
     }
 
     /// Becomes a follower: nothing more is promised, accepted or renewed until the process restarts.
     pub fn abstain(&mut self, now: Ms, config: &CouncilConfig) {
         self.kind = Kind::Follower(Box::new(Follower::new(now, config.clone())));
-        self.told = None;
+        self.reported = None;
     }
 
     pub fn follower(&self) -> &Follower {
         match &self.kind {
-            Kind::Councillor(it) => it.follower(),
-            Kind::Follower(it) => it,
+            Kind::Councillor(councillor) => councillor.follower(),
+            Kind::Follower(follower) => follower,
         }
     }
 
     /// The councillor, if it participates.
     pub fn participating_councillor(&self) -> Option<&Councillor> {
         match &self.kind {
-            Kind::Councillor(it) if it.participates() => Some(it),
+            Kind::Councillor(councillor) if councillor.participates() => Some(councillor),
             _ => None,
         }
     }
 
     /// Whether the councillor participates, if that has changed since the last call.
-    pub fn turned(&mut self) -> Option<bool> {
-        let Kind::Councillor(it) = &self.kind else { return None };
-        let is = it.participates();
-        (self.told.replace(is) != Some(is)).then_some(is)
+    pub fn participation_change(&mut self) -> Option<bool> {
+        let Kind::Councillor(councillor) = &self.kind else { return None };
+        let participates = councillor.participates();
+        (self.reported.replace(participates) != Some(participates)).then_some(participates)
     }
 
     pub fn is_councillor(&self) -> bool {
@@ -77,15 +78,15 @@
 
     pub fn next_timer(&self) -> Ms {
         match &self.kind {
-            Kind::Councillor(it) => it.next_timer(),
-            Kind::Follower(it) => it.next_timer(),
+            Kind::Councillor(councillor) => councillor.next_timer(),
+            Kind::Follower(follower) => follower.next_timer(),
         }
     }
 
     pub fn on_timer(&mut self, now: Ms, guard: &dyn Guard, out: &mut PendingWork) {
         match &mut self.kind {
-            Kind::Councillor(it) => it.on_timer(now, guard, out),
-            Kind::Follower(it) => it.on_timer(now, out),
+            Kind::Councillor(councillor) => councillor.on_timer(now, guard, out),
+            Kind::Follower(follower) => follower.on_timer(now, out),
         }
     }
 
@@ -93,19 +94,19 @@
         &mut self,
         now: Ms,
         from: MemberId,
-        it: &Message,
+        message: &Message,
         guard: &dyn Guard,
         out: &mut PendingWork,
     ) {
         match &mut self.kind {
-            Kind::Councillor(seat) => seat.on_message(now, from, it, guard, out),
-            Kind::Follower(seat) => seat.on_message(now, from, it, out),
+            Kind::Councillor(seat) => seat.on_message(now, from, message, guard, out),
+            Kind::Follower(seat) => seat.on_message(now, from, message, out),
         }
     }
 
     pub fn on_persisted(&mut self, now: Ms, token: Token, guard: &dyn Guard, out: &mut PendingWork) {
-        if let Kind::Councillor(it) = &mut self.kind {
-            it.on_persisted(now, token, guard, out);
+        if let Kind::Councillor(councillor) = &mut self.kind {
+            councillor.on_persisted(now, token, guard, out);
         }
     }
 
@@ -118,22 +119,22 @@
         out: &mut PendingWork,
     ) {
         match &mut self.kind {
-            Kind::Councillor(it) => it.submit(now, number, key, change, guard, out),
-            Kind::Follower(it) => it.submit(now, number, key, change, out),
+            Kind::Councillor(councillor) => councillor.submit(now, number, key, change, guard, out),
+            Kind::Follower(follower) => follower.submit(now, number, key, change, out),
         }
     }
 
     pub fn set_living(&mut self, living: &BTreeSet<MemberId>) {
         match &mut self.kind {
-            Kind::Councillor(it) => it.set_living(living),
-            Kind::Follower(it) => it.set_living(living),
+            Kind::Councillor(councillor) => councillor.set_living(living),
+            Kind::Follower(follower) => follower.set_living(living),
         }
     }
 
-    pub fn on_digest(&mut self, now: Ms, from: MemberId, rider: &[u8], out: &mut PendingWork) {
+    pub fn on_digest(&mut self, now: Ms, from: MemberId, digest: &[u8], out: &mut PendingWork) {
         match &mut self.kind {
-            Kind::Councillor(it) => it.on_digest(now, from, rider, out),
-            Kind::Follower(it) => it.on_digest(now, from, rider, out),
+            Kind::Councillor(councillor) => councillor.on_digest(now, from, digest, out),
+            Kind::Follower(follower) => follower.on_digest(now, from, digest, out),
         }
     }
 }
@@ -143,9 +144,9 @@
     use super::*;
     use ottersail_consensus::{AllowAll, Ballot, InstanceId, StoreGeneration};
 
-    /// Otherwise a councillor could continue to promise what no disk holds.
+    /// Otherwise a councillor could continue to make promises that are on no disk.
     #[test]
-    fn one_that_abstains_promises_nothing_more() {
+    fn an_abstaining_councillor_makes_no_promises() {
         let folder = tempfile::tempdir().unwrap();
         let (store, stored) = Store::open(&folder.path().join("council"), StoreGeneration(5)).unwrap();
         let [me, other, third] = [1, 2, 3].map(MemberId);
@@ -153,19 +154,25 @@
         let opened = Some((store, StoredState { participating: true, ..stored }));
         let (mut seat, store_writer) = Seat::born(Ms(0.0), &config, opened);
         assert!(store_writer.is_some() && seat.is_councillor());
-        assert_eq!((seat.turned(), seat.turned()), (Some(true), None), "told once");
+        assert_eq!(
+            (seat.participation_change(), seat.participation_change()),
+            (Some(true), None),
+            "reported once"
+        );
         let ballot = Ballot { number: 1, proposer: other, life: InstanceId(9) };
         let prepare = Message::Prepare { key: Key::Founding, ballot };
         let kept = |seat: &mut Seat| {
             let mut work = PendingWork::default();
             seat.on_message(Ms(1.0), other, &prepare, &AllowAll, &mut work);
-            (work.writes.len(), work.posts.len())
+            (work.writes.len(), work.messages.len())
         };
         assert_eq!(kept(&mut seat), (1, 0), "a promise waits for the disk");
         seat.abstain(Ms(2.0), &config);
         assert_eq!(kept(&mut seat), (0, 0));
         assert!(
-            seat.participating_councillor().is_none() && !seat.is_councillor() && seat.turned().is_none()
+            seat.participating_councillor().is_none()
+                && !seat.is_councillor()
+                && seat.participation_change().is_none()
         );
     }
 }
--- a/daemon/src/fleet/council/store_writer.rs
+++ b/daemon/src/fleet/council/store_writer.rs
@@ -29,6 +29,7 @@
     pub took: Duration,
 }
 
+/// The queue to the writing thread and back.
 pub(in crate::fleet) struct StoreWriter {
     requests: Sender<WriteRequest>,
     /// Closed once the store has failed.
@@ -53,6 +54,8 @@
 }
 
 impl StoreWriter {
+    /// Starts the writing thread.
+    ///
     /// # Errors
     /// If the thread cannot be started.
     pub fn start(store: Store) -> Result<StoreWriter, RunError> {
@@ -77,7 +80,7 @@
         let more = std::iter::from_fn(|| waiting.try_recv().ok());
         let requests: Vec<WriteRequest> =
             std::iter::once(first).chain(more.take(MAX_WRITES_PER_TRANSACTION - 1)).collect();
-        if let Err(trouble) = store.persist(requests.iter().flat_map(|it| &it.records)) {
+        if let Err(trouble) = store.persist(requests.iter().flat_map(|request| &request.records)) {
             error!(target: "council", %trouble, "the store failed: this councillor abstains, viewings go on");
             return;
         }
@@ -94,17 +97,18 @@
     use super::*;
 
     #[test]
-    fn what_is_told_as_kept_is_there_after_a_start_and_comes_in_order() {
+    fn completed_writes_are_reported_in_order_and_survive_a_restart() {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("council");
         let store_writer = StoreWriter::start(open(&path).unwrap().0).unwrap();
-        let memory =
-            |it: u64| [Record::PeerGeneration(ottersail_membership::MemberId(it), StoreGeneration(it))];
-        assert!((1..=40).all(|it| store_writer.put(WriteRequest::new(Token(it), &memory(it)))));
+        let records = |number: u64| {
+            [Record::PeerGeneration(ottersail_membership::MemberId(number), StoreGeneration(number))]
+        };
+        assert!((1..=40).all(|number| store_writer.put(WriteRequest::new(Token(number), &records(number)))));
         let done: Vec<u64> = (1..=40).map(|_| store_writer.done.recv_blocking().unwrap().token.0).collect();
         assert_eq!(done, (1..=40).collect::<Vec<_>>());
         drop(store_writer);
-        let held = || open(&path).map(|it| it.1.known.len());
+        let held = || open(&path).map(|(_, stored)| stored.known.len());
         let began = Instant::now();
         let mut found = None;
         // The thread closes the file shortly after its queue.
@@ -115,7 +119,7 @@
     }
 
     #[test]
-    fn what_is_no_store_makes_an_abstainer_and_is_left_as_it_is() {
+    fn a_file_that_is_no_store_is_rejected_and_left_unchanged() {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("council");
         std::fs::write(&path, "something else").unwrap();
--- a/daemon/src/fleet/council/tasks.rs
+++ b/daemon/src/fleet/council/tasks.rs
@@ -15,7 +15,7 @@
 use tracing::{error, info, warn};
 
 /// Interval at which a leaving manager checks whether its slots are returned.
-const LOOK: Duration = Duration::from_millis(2);
+const RETURN_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
 /// The council's state and channels within the fleet.
 pub(in crate::fleet) struct CouncilTasks {
@@ -30,7 +30,7 @@
 
 impl CouncilTasks {
     pub fn new(born: Option<(Council, Option<StoreWriter>)>, owner: &Rc<PlacementOwner>) -> CouncilTasks {
-        let (council, store_writer) = born.map_or((None, None), |it| (Some(it.0), it.1));
+        let (council, store_writer) = born.map_or((None, None), |(council, writer)| (Some(council), writer));
         CouncilTasks {
             council: RefCell::new(council),
             store_writer,
@@ -42,7 +42,7 @@
     }
 
     fn next_timer(&self) -> f64 {
-        self.council.borrow().as_ref().map_or(f64::INFINITY, |it| it.next_timer().0)
+        self.council.borrow().as_ref().map_or(f64::INFINITY, |council| council.next_timer().0)
     }
 }
 
@@ -51,7 +51,7 @@
     pub(in crate::fleet) fn start_council(self: &Rc<Fleet>) {
         if self.council_tasks.council.borrow().is_some() {
             self.exec.spawn(self.clone().run_council_timer()).detach();
-            self.exec.spawn(self.clone().keep()).detach();
+            self.exec.spawn(self.clone().run_store_results()).detach();
         }
     }
 
@@ -65,14 +65,15 @@
     /// Returns the leased slots when this manager ends: the placement is first limited to its kept slot. Waits no longer
     /// than `at_most`. Without it, each release would leave a manager's part unused for the length of a lease.
     pub(in crate::fleet) async fn give_back(&self, at_most: Duration) {
-        self.council(|it, now, outputs| it.leave(now, outputs));
-        let given = || self.council_tasks.council.borrow().as_ref().is_none_or(Council::gave_all_back);
+        self.council(|council, now, outputs| council.leave(now, outputs));
+        let returned =
+            || self.council_tasks.council.borrow().as_ref().is_none_or(Council::has_returned_all_slots);
         let until = Instant::now() + at_most;
-        while !given() && Instant::now() < until {
-            Timer::after(LOOK).await;
+        while !returned() && Instant::now() < until {
+            Timer::after(RETURN_CHECK_INTERVAL).await;
         }
         if self.council_tasks.council.borrow().is_some() {
-            info!(target: "parts", all = given(), "slots given back");
+            info!(target: "parts", all = returned(), "slots given back");
         }
     }
 
@@ -81,9 +82,9 @@
         let Some(mut shrunk) = self.with_council(input) else { return };
         // The placement uses the smaller part now, and only now may other members get the rest.
         while shrunk {
-            shrunk = self.with_council(|it, now, outputs| it.shrunk(now, outputs)).unwrap_or(false);
+            shrunk = self.with_council(|council, now, outputs| council.shrunk(now, outputs)).unwrap_or(false);
         }
-        self.go_out();
+        self.use_permit();
         if self.council_tasks.next_timer() < self.council_tasks.timer_at.get() {
             _ = self.council_tasks.timer_changed.0.try_send(());
         }
@@ -91,16 +92,21 @@
 
     /// Uses a permit, if there is one: first stops taking viewings, then checks the clock again. This protects against a
     /// process that is paused between the check of its permit and leaving, beyond the permit's expiry.
-    fn go_out(&self) {
-        let going = self.council_tasks.council.borrow().as_ref().and_then(|it| it.wants_out(self.now()));
+    fn use_permit(&self) {
+        let going = self
+            .council_tasks
+            .council
+            .borrow()
+            .as_ref()
+            .and_then(|council| council.usable_permit(self.now()));
         let (Some(going), Some(owner)) = (going, self.council_tasks.owner.upgrade()) else { return };
         // If the manager is already ending, an expired permit must not make it take viewings again.
-        if owner.with_front(|it| it.is_draining()) {
+        if owner.with_front(|front| front.is_draining()) {
             return;
         }
         owner.handle(&FrontInput::Drain);
         let now = self.now();
-        let in_time = |it: &mut Council| it.still_in_time(now, &going);
+        let in_time = |council: &mut Council| council.confirm_permit(now, &going);
         if self.council_tasks.council.borrow_mut().as_mut().is_some_and(in_time) {
             info!(target: "releases", version = %going.version, "leaving on a permit of the release");
             _ = self.council_tasks.out.0.try_send(going.version);
@@ -117,53 +123,53 @@
 
     /// Submits the order of this manager's own file.
     pub fn submit_order(&self, order: Order) {
-        self.council(|it, _, _| it.order(order));
+        self.council(|council, _, _| council.submit_order(order));
     }
 
     /// Updates the status of this manager for the councillors.
-    fn stands(&self, council: &mut Council, now: Ms) {
+    fn update_status(&self, council: &mut Council, now: Ms) {
         let Some(owner) = self.council_tasks.owner.upgrade() else { return };
         let clock = ottersail_front::Ms(owner.clock.now());
-        let (whole, it) = owner.with_front(|it| (it.is_ready(clock), it.counts()));
+        let (ready, front) = owner.with_front(|front| (front.is_ready(clock), front.counts()));
         let (set_ups, set_up_ms) = owner.set_up_totals();
         let counts = ViewingCounts {
             // For the viewer, a viewing that is not even taken is blocked.
-            asked: it.asked + it.turned_away_untaken,
-            blocked: it.blocked + it.turned_away_untaken,
-            aborted: it.aborted,
-            broken_off: it.broken_off,
+            asked: front.asked + front.turned_away_untaken,
+            blocked: front.blocked + front.turned_away_untaken,
+            aborted: front.aborted,
+            broken_off: front.broken_off,
             set_ups,
             set_up_ms,
         };
-        council.stands(now, whole, counts);
+        council.set_status(now, ready, counts);
     }
 
     /// Processes one input and carries out the outputs. Returns whether the placement was given a smaller part.
     fn with_council(&self, input: impl FnOnce(&mut Council, Ms, &mut Outputs)) -> Option<bool> {
         let mut outputs = Outputs::default();
         input(self.council_tasks.council.borrow_mut().as_mut()?, self.now(), &mut outputs);
-        let Outputs { messages, writes, part, shrunk, riders } = outputs;
+        let Outputs { messages, writes, part, shrunk, piggybacks } = outputs;
         // Writes come first, since replies wait for the disk.
         for write in writes {
-            if !self.council_tasks.store_writer.as_ref().is_some_and(|it| it.put(write)) {
+            if !self.council_tasks.store_writer.as_ref().is_some_and(|writer| writer.put(write)) {
                 error!(
                     target: "council",
                     "the store accepts no more writes: this councillor abstains; check the disk, then restart"
                 );
-                self.lost_store();
+                self.on_store_lost();
                 break;
             }
         }
         if !messages.is_empty() {
             let now = self.now();
-            self.with_members(None, |it, out| {
-                for tell in &messages {
+            self.with_members(None, |members, out| {
+                for message in &messages {
                     // A member that is not known yet receives it at the next attempt.
-                    it.send_message(now, tell.to, tell.topic, &tell.bytes, out);
+                    members.send_message(now, message.to, message.topic, &message.bytes, out);
                 }
             });
         }
-        for (topic, bytes) in riders {
+        for (topic, bytes) in piggybacks {
             self.members.borrow_mut().set_piggyback(topic, &bytes);
         }
         if let Some(mut part) = part {
@@ -177,24 +183,24 @@
         Some(shrunk)
     }
 
-    /// How far the front's clock is before the members'; both go by the one monotonic clock. Read in this
-    /// order a pause in between makes an `until` earlier and never later.
+    /// By how many milliseconds the front's clock is ahead of the members' clock; both use the same monotonic clock. The
+    /// clocks are read in this order so that a pause in between can only make a lease end earlier, never later.
     fn ahead(&self) -> Option<f64> {
         let front = self.council_tasks.owner.upgrade()?.clock.now();
         Some(front - self.now().0)
     }
 
     /// Passes on messages for the layers above the membership.
-    pub(in crate::fleet) fn on_upper_layer(&self, heard: Vec<(MemberId, Topic, Vec<u8>)>) {
-        for (from, topic, bytes) in heard {
-            self.council(|it, now, outputs| it.heard(now, from, topic, &bytes, outputs));
+    pub(in crate::fleet) fn on_upper_layer(&self, received: Vec<(MemberId, Topic, Vec<u8>)>) {
+        for (from, topic, bytes) in received {
+            self.council(|council, now, outputs| council.on_message(now, from, topic, &bytes, outputs));
         }
     }
 
-    fn lost_store(&self) {
+    fn on_store_lost(&self) {
         let now = self.now();
         if let Some(council) = self.council_tasks.council.borrow_mut().as_mut() {
-            council.lost_store(now);
+            council.on_store_lost(now);
         }
     }
 
@@ -203,16 +209,16 @@
             let due = self.council_tasks.next_timer();
             self.council_tasks.timer_at.set(due);
             // Slightly late, so that the timer is due when it is checked.
-            let at = self.began + Duration::from_secs_f64((due + 0.1).clamp(0.0, 1e12) / 1e3);
-            futures_lite::future::or(Timer::at(at), async {
+            let wake_at = self.began + Duration::from_secs_f64((due + 0.1).clamp(0.0, 1e12) / 1e3);
+            futures_lite::future::or(Timer::at(wake_at), async {
                 _ = self.council_tasks.timer_changed.1.recv().await;
             })
             .await;
             if self.council_tasks.next_timer() <= self.now().0 {
-                self.council(|it, now, outputs| {
-                    self.stands(it, now);
-                    it.on_timer(now, outputs);
-                    it.roster(now, self.members.borrow().others(), outputs);
+                self.council(|council, now, outputs| {
+                    self.update_status(council, now);
+                    council.on_timer(now, outputs);
+                    council.roster(now, self.members.borrow().others(), outputs);
                 });
             }
             futures_lite::future::yield_now().await;
@@ -220,12 +226,12 @@
     }
 
     /// Passes completed disk writes to the council.
-    async fn keep(self: Rc<Fleet>) {
+    async fn run_store_results(self: Rc<Fleet>) {
         let Some(store_writer) = &self.council_tasks.store_writer else { return };
         while let Ok(done) = store_writer.done.recv().await {
-            self.council(|it, now, outputs| it.kept(now, done, outputs));
+            self.council(|council, now, outputs| council.on_persisted(now, done, outputs));
         }
-        self.lost_store();
+        self.on_store_lost();
     }
 
     pub(in crate::fleet) fn register_council(&self, registry: &mut Registry) {
