--- a/daemon/src/rehearse/resource_usage.rs
+++ b/daemon/src/rehearse/resource_usage.rs
@@ -36,7 +36,8 @@
     let mean = |figure: &dyn Fn(&ResourceUsage) -> f64, costs: &[ResourceUsage]| {
         costs.iter().map(figure).sum::<f64>() / costs.len() as f64
     };
-    let rate = |figure: &dyn Fn(&ResourceUsage) -> f64| (mean(figure, &after) - mean(figure, &before)) / seconds;
+    let rate =
+        |figure: &dyn Fn(&ResourceUsage) -> f64| (mean(figure, &after) - mean(figure, &before)) / seconds;
     recorder.note(Event::Rested {
         managers: after.len(),
         memory_kb: mean(&|cost| cost.memory_kb, &after),
