--- a/daemon/src/service.rs
+++ b/daemon/src/service.rs
@@ -46,7 +46,7 @@
 }
 
 impl Service {
-    /// PlacementActions one request.
+    /// Answers one request.
     pub async fn answer(
         self: Rc<Service>,
         request: Request<Incoming>,
--- a/daemon/src/stalled_cores.rs
+++ b/daemon/src/stalled_cores.rs
@@ -1,4 +1,4 @@
-//! PlacementActions the requests of a stalled core from another core, each at most once.
+//! Answers the requests of a stalled core from another core, each at most once.
 
 use crate::messages::OwnerMessage;
 use crate::service::raw_response;
--- a/daemon/tests/cores/still.rs
+++ b/daemon/tests/cores/still.rs
@@ -64,5 +64,5 @@
     }
     assert_eq!(answered, 6, "{}", manager.log());
     assert!(began.elapsed() < Duration::from_millis(1500), "before it moved again: {:?}", began.elapsed());
-    assert!(manager.log().contains("answered in its place"), "{}", manager.log());
+    assert!(manager.log().contains("answering its request from another core"), "{}", manager.log());
 }
--- a/daemon/tests/releases/faults.rs
+++ b/daemon/tests/releases/faults.rs
@@ -19,7 +19,7 @@
     let dead = |it: &mut Field| it.all.all_believe("m-6", "dead") && it.all.all_believe("m-7", "dead");
     assert!(field.until(dead), "{}", field.told());
     field.order("two", "one", "go", "");
-    assert!(field.until(|it| it.says("wait for those not seen whole")), "{}", field.told());
+    assert!(field.until(|it| it.says("wait for those not seen ready")), "{}", field.told());
     field.watch(Duration::from_secs(6));
     assert_eq!(field.went, [], "{}", field.told());
     field.start(6, "one");
